--- a/crates/stacktack-core/src/direct/admission/patience.rs
+++ b/crates/stacktack-core/src/direct/admission/caller_timeouts.rs
@@ -37,7 +37,7 @@
 
 /// The shortest usual patience of each route's callers.
 #[derive(Clone, Debug, Default)]
-pub struct UsualPatience {
+pub struct UsualTimeouts {
     routes: HashMap<String, RoutePatience>,
     last_refused: Option<Time>,
 }
@@ -51,17 +51,17 @@
     seen: Time,
 }
 
-impl UsualPatience {
+impl UsualTimeouts {
     /// Whether the caller came before: it says that it waits clearly less than is usual.
     pub fn has_returned(&self, request: &AdmissionRequest<'_>) -> bool {
         self.routes.get(request.route).is_some_and(|known| {
-            let patience = request.announced_patience + CLEARLY_SHORTER;
+            let patience = request.caller_timeout + CLEARLY_SHORTER;
             patience.as_secs_f64() < known.shortest
         })
     }
 
     /// Whether nobody was refused here for so long that nobody comes back.
-    pub fn is_calm(&self, now: Time) -> bool {
+    pub fn has_no_recent_refusals(&self, now: Time) -> bool {
         self.last_refused
             .is_none_or(|at| now.since(at) >= CALM_AFTER)
     }
@@ -72,12 +72,12 @@
     }
 
     /// A request was taken.
-    pub fn on_taken(&mut self, request: &AdmissionRequest<'_>, now: Time) {
-        if !self.is_calm(now) {
+    pub fn on_admitted(&mut self, request: &AdmissionRequest<'_>, now: Time) {
+        if !self.has_no_recent_refusals(now) {
             return;
         }
         if let Some(usual) = self.routes.get_mut(request.route) {
-            usual.note(request.announced_patience, now);
+            usual.note(request.caller_timeout, now);
             return;
         }
         if self.routes.len() >= MAXIMUM_ROUTES {
@@ -86,7 +86,7 @@
         }
         if self.routes.len() < MAXIMUM_ROUTES {
             let first = RoutePatience {
-                shortest: request.announced_patience.as_secs_f64(),
+                shortest: request.caller_timeout.as_secs_f64(),
                 first_tries: 1.0,
                 seen: now,
             };
--- a/crates/stacktack-core/src/direct/admission/mod.rs
+++ b/crates/stacktack-core/src/direct/admission/mod.rs
@@ -20,22 +20,22 @@
 //! Where loads are not known (a back end tells none and the fleet is large) the back
 //! ends' own rejections say truly that there is no room ([`rejections`]).
 
-pub mod patience;
+pub mod caller_timeouts;
 pub mod pool_load;
 pub mod pool_share;
 pub mod rate;
 pub mod rejections;
-pub mod returns;
+pub mod retry_after;
 pub mod target_fill;
 pub mod tenant_shares;
 
 use std::time::Duration;
 
-use crate::direct::admission::patience::UsualPatience;
+use crate::direct::admission::caller_timeouts::UsualTimeouts;
 use crate::direct::admission::pool_load::PoolLoad;
 use crate::direct::admission::pool_share::{PoolShare, ShareInputs};
 use crate::direct::admission::rejections::Rejections;
-use crate::direct::admission::returns::ReturnLine;
+use crate::direct::admission::retry_after::RetryAfterSchedule;
 use crate::direct::admission::target_fill::TargetFill;
 use crate::direct::admission::tenant_shares::TenantShares;
 use crate::time::Time;
@@ -78,22 +78,22 @@
     /// Time within which the first byte is wanted.
     pub objective: Duration,
     /// Time that its caller said it would wait.
-    pub announced_patience: Duration,
+    pub caller_timeout: Duration,
     /// Time that its caller still waits.
-    pub patience: Duration,
+    pub remaining_timeout: Duration,
     /// Whether it was sent to a back end before.
-    pub repeated: bool,
+    pub is_retry: bool,
 }
 
 /// What a pool says to one more request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PoolAnswer {
+pub enum PoolDecision {
     /// It is taken.
-    Taken,
+    Admitted,
     /// The pool is full and the router has used its share.
-    ShareUsed,
+    RouterShareExhausted,
     /// The pool is full and the tenant sends clearly more than its share.
-    TenantShareUsed,
+    TenantShareExceeded,
 }
 
 /// Requests that a back end may hold for one more request to be sent there, as a
@@ -115,21 +115,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct PoolAdmission {
     hold_seconds: Option<f64>,
-    patience: UsualPatience,
+    patience: UsualTimeouts,
     /// Shortest objective seen of late.
     objective: Option<(Duration, Time)>,
     share: PoolShare,
     target_fill: TargetFill,
     tenants: TenantShares,
     rejections: Rejections,
-    returns: ReturnLine,
+    returns: RetryAfterSchedule,
 }
 
 impl PoolAdmission {
     /// The limit that holds for a request at each back end.
-    pub fn limit(&mut self, request: &AdmissionRequest<'_>, now: Time) -> SlotLimit {
+    pub fn slot_limit(&mut self, request: &AdmissionRequest<'_>, now: Time) -> SlotLimit {
         self.note_objective(request.objective, now);
-        let reserve = if request.repeated {
+        let reserve = if request.is_retry {
             REPEAT_RESERVE
         } else {
             0.0
@@ -147,37 +147,37 @@
     }
 
     /// Whether the pool as a whole takes a new request of one of so many routers.
-    pub fn ask(
+    pub fn decide(
         &mut self,
         request: &AdmissionRequest<'_>,
         pool: PoolLoad,
         routers: usize,
         now: Time,
-    ) -> PoolAnswer {
+    ) -> PoolDecision {
         let most = 1.0 + TARGET_SHARE_OF_WAIT * self.wait(request.objective);
         let inputs = ShareInputs {
             pool,
-            target: self.target_fill.target(most, pool.fill(), now),
+            target_fill: self.target_fill.target(most, pool.fill(), now),
             hold_seconds: self.hold_seconds,
             routers,
         };
-        let full = self.share.is_needed(&inputs, now);
+        let full = self.share.is_enforced(&inputs, now);
         if let Some(tenant) = request.tenant {
-            self.tenants.on_asked(tenant, full, now);
+            self.tenants.on_request(tenant, full, now);
         }
         if !full {
-            return PoolAnswer::Taken;
+            return PoolDecision::Admitted;
         }
         let surges = request
             .tenant
-            .is_some_and(|tenant| self.tenants.surges(tenant, now));
+            .is_some_and(|tenant| self.tenants.is_surging(tenant, now));
         let goes_behind = surges || self.has_returned(request);
-        if self.share.is_left(goes_behind) {
-            PoolAnswer::Taken
+        if self.share.has_permit(goes_behind) {
+            PoolDecision::Admitted
         } else if surges {
-            PoolAnswer::TenantShareUsed
+            PoolDecision::TenantShareExceeded
         } else {
-            PoolAnswer::ShareUsed
+            PoolDecision::RouterShareExhausted
         }
     }
 
@@ -192,26 +192,26 @@
 
     /// Whether the request is refused since back ends reject too many; `draw` is uniform
     /// from 0 to 1.
-    pub fn is_rejected(&mut self, request: &AdmissionRequest<'_>, draw: f64, now: Time) -> bool {
+    pub fn should_shed(&mut self, request: &AdmissionRequest<'_>, draw: f64, now: Time) -> bool {
         let returned = self.has_returned(request);
-        let rejected = draw < self.rejections.refused_share(returned, now);
+        let rejected = draw < self.rejections.shed_share(returned, now);
         if rejected {
-            self.rejections.on_not_taken(now);
+            self.rejections.on_not_accepted(now);
         }
         rejected
     }
 
     /// The answer to a first try began, late or not.
-    pub fn on_first_answer(&mut self, late: bool) {
-        self.target_fill.on_first_answer(late);
+    pub fn on_first_try_response(&mut self, late: bool) {
+        self.target_fill.on_first_try_response(late);
     }
 
     /// A back end took a request, or rejected it for want of room.
     pub fn on_outcome(&mut self, taken: bool, now: Time) {
         if taken {
-            self.rejections.on_taken(now);
+            self.rejections.on_accepted(now);
         } else {
-            self.rejections.on_not_taken(now);
+            self.rejections.on_not_accepted(now);
         }
     }
 
@@ -221,28 +221,32 @@
     }
 
     /// Whether nobody was refused here for so long that nobody comes back.
-    pub fn is_calm(&self, now: Time) -> bool {
-        self.patience.is_calm(now)
+    pub fn has_no_recent_refusals(&self, now: Time) -> bool {
+        self.patience.has_no_recent_refusals(now)
     }
 
     /// A request was sent on for the first time.
     pub fn on_admitted(&mut self, request: &AdmissionRequest<'_>, now: Time) {
         self.share.on_admitted(now);
-        self.patience.on_taken(request, now);
+        self.patience.on_admitted(request, now);
     }
 
     /// A request is refused. Returns after what time its caller may come back. `draw`
     /// spreads callers where that is later than they will wait.
     pub fn on_refused(&mut self, request: &AdmissionRequest<'_>, draw: f64, now: Time) -> Duration {
         self.patience.on_refused(now);
-        self.returns
-            .join(self.share.admissions(), request.patience, draw, now)
+        self.returns.join(
+            self.share.admission_rate(),
+            request.remaining_timeout,
+            draw,
+            now,
+        )
     }
 
     /// A whole answer came this long after its request was sent. `load` and `slots`
     /// are the back end's when the request was sent there: above the slots the time
     /// grows with the load, and the share beyond was spent waiting.
-    pub fn on_whole(&mut self, after: Duration, load: f64, slots: u32) {
+    pub fn on_complete_response(&mut self, after: Duration, load: f64, slots: u32) {
         let ran_share = (f64::from(slots) / load.max(1.0)).min(1.0);
         let seconds = (after.as_secs_f64() * ran_share).max(SHORTEST_HOLD);
         let known = self.hold_seconds.unwrap_or(seconds);
--- a/crates/stacktack-core/src/direct/admission/pool_load.rs
+++ b/crates/stacktack-core/src/direct/admission/pool_load.rs
@@ -46,7 +46,7 @@
     /// full it makes the mean of a pool look higher than it is, and others get more than
     /// their bound: with a quarter of 42 back ends drained 3.4 to 6.3 in 100 requests
     /// went to one that held over twice the mean.
-    pub fn left(&self, hold_seconds: f64) -> f64 {
+    pub fn residual_load(&self, hold_seconds: f64) -> f64 {
         let Some(age) = self.age else {
             return self.load;
         };
@@ -60,11 +60,11 @@
     /// Number of back ends.
     pub back_ends: usize,
     /// Requests that one holds.
-    pub mean: f64,
+    pub mean_load: f64,
     /// Requests that one runs at a time.
-    pub slots: f64,
+    pub mean_slots: f64,
     /// Age of what is known.
-    pub age: Duration,
+    pub mean_age: Duration,
     /// Reports of the same weight that would give as sure a mean.
     reports: f64,
 }
@@ -73,7 +73,7 @@
     /// The load of a pool with these back ends; newer news weighs more. `None` where
     /// the load of fewer than half is known: then the back ends themselves say whether
     /// they have room.
-    pub fn of(reports: &[LoadReport]) -> Option<Self> {
+    pub fn from_reports(reports: &[LoadReport]) -> Option<Self> {
         let fresh = fresh_age(reports);
         let known: Vec<(f64, &LoadReport)> = reports
             .iter()
@@ -95,9 +95,9 @@
         Some(PoolLoad {
             reports: whole * whole / squares,
             back_ends: reports.len(),
-            mean: mean(|report| report.load),
-            slots: mean(|report| f64::from(report.slots)),
-            age: Duration::from_secs_f64(mean(|report| {
+            mean_load: mean(|report| report.load),
+            mean_slots: mean(|report| f64::from(report.slots)),
+            mean_age: Duration::from_secs_f64(mean(|report| {
                 report.age.unwrap_or_default().as_secs_f64()
             })),
         })
@@ -105,7 +105,7 @@
 
     /// Load in multiples of the slots.
     pub fn fill(&self) -> f64 {
-        self.mean / self.slots
+        self.mean_load / self.mean_slots
     }
 
     /// Limit of a back end in this pool, from its own limit.
@@ -114,45 +114,45 @@
     /// that its home has no room for goes to one that has. With room up to a multiple of
     /// the mean it waited there instead (four routers, four days of overload of three
     /// seeds each: worth 0.709 in the mean, 0.744 without).
-    pub fn limit(&self, own: f64) -> f64 {
+    pub fn back_end_limit(&self, own: f64) -> f64 {
         if self.is_full() {
-            own.max(FULL_ABOVE_MEAN * self.mean * self.oldness())
+            own.max(FULL_ABOVE_MEAN * self.mean_load * self.staleness())
         } else {
             own
         }
     }
 
     /// From 0, where the load is known as it is now, to 1, where that is old.
-    pub fn oldness(&self) -> f64 {
-        (self.age.as_secs_f64() / OLD.as_secs_f64()).min(1.0)
+    pub fn staleness(&self) -> f64 {
+        (self.mean_age.as_secs_f64() / OLD.as_secs_f64()).min(1.0)
     }
 
     /// Whether its slots are taken; below that nobody is refused.
     pub fn is_full(&self) -> bool {
-        self.fill() >= self.full_from()
+        self.fill() >= self.full_threshold()
     }
 
     /// Fill from which it is full.
-    pub fn full_from(&self) -> f64 {
-        FULL_FROM + self.swing()
+    pub fn full_threshold(&self) -> f64 {
+        FULL_FROM + self.fill_error()
     }
 
     /// Error of its fill by chance: the requests in the reports that it is taken from
     /// vary by their square root.
-    pub fn swing(&self) -> f64 {
-        1.0 / (self.slots * self.reports).sqrt()
+    pub fn fill_error(&self) -> f64 {
+        1.0 / (self.mean_slots * self.reports).sqrt()
     }
 
     /// Load of a back end that is to be expected: what was told a while ago says less
     /// the more requests began and ended since. A load above the mean stays as it was
     /// told. Without this, back ends of which the news is old and low get what all
     /// routers send at once.
-    pub fn expected(&self, report: &LoadReport, hold_seconds: f64) -> f64 {
-        let Some(age) = report.age.filter(|_| report.load < self.mean) else {
+    pub fn expected_load(&self, report: &LoadReport, hold_seconds: f64) -> f64 {
+        let Some(age) = report.age.filter(|_| report.load < self.mean_load) else {
             return report.load;
         };
         let kept = (-age.as_secs_f64() / hold_seconds).exp();
-        self.mean + (report.load - self.mean) * kept
+        self.mean_load + (report.load - self.mean_load) * kept
     }
 }
 
--- a/crates/stacktack-core/src/direct/admission/pool_share.rs
+++ b/crates/stacktack-core/src/direct/admission/pool_share.rs
@@ -81,7 +81,7 @@
     /// Load of the pool.
     pub pool: PoolLoad,
     /// Fill of the pool that is aimed at, in slots.
-    pub target: f64,
+    pub target_fill: f64,
     /// Time that a request holds a slot, in seconds, where it is known.
     pub hold_seconds: Option<f64>,
     /// Routers that send to the pool, this one among them.
@@ -90,9 +90,9 @@
 
 impl ShareInputs {
     /// Fill from which the pool is full.
-    fn full_from(&self) -> f64 {
-        let usual = self.pool.full_from();
-        usual.min(FULL_SHARE_OF_TARGET * self.target + self.pool.swing())
+    fn full_threshold(&self) -> f64 {
+        let usual = self.pool.full_threshold();
+        usual.min(FULL_SHARE_OF_TARGET * self.target_fill + self.pool.fill_error())
     }
 }
 
@@ -114,16 +114,16 @@
 impl PoolShare {
     /// Whether one more request needs a part of the share: the pool is full. One with room
     /// takes all.
-    pub fn is_needed(&mut self, inputs: &ShareInputs, now: Time) -> bool {
+    pub fn is_enforced(&mut self, inputs: &ShareInputs, now: Time) -> bool {
         let fill = inputs.pool.fill();
-        let usual_fill = self.fill.take(fill, now);
+        let usual_fill = self.fill.update(fill, now);
         let expected_fill = fill + self.change_since(inputs, now);
         self.rate = self.rate(inputs, usual_fill, expected_fill, now);
         self.most_saved = (self.rate * SAVE.as_secs_f64()).max(LEAST_SAVED);
         let elapsed = self.refilled.map_or(Duration::ZERO, |at| now.since(at));
         self.refilled = Some(now);
         self.saved = (self.saved + self.rate * elapsed.as_secs_f64()).min(self.most_saved);
-        if expected_fill < inputs.full_from() {
+        if expected_fill < inputs.full_threshold() {
             self.correction = 1.0;
             return false;
         }
@@ -132,7 +132,7 @@
 
     /// Whether something of the share is left. Who goes behind others is taken where those
     /// leave part of it.
-    pub fn is_left(&self, goes_behind: bool) -> bool {
+    pub fn has_permit(&self, goes_behind: bool) -> bool {
         let needed = if goes_behind { self.most_saved } else { 1.0 };
         self.saved >= needed
     }
@@ -150,7 +150,7 @@
     }
 
     /// Requests a second that this router sent of late.
-    pub fn admissions(&self) -> &DecayingRate {
+    pub fn admission_rate(&self) -> &DecayingRate {
         &self.admitted
     }
 
@@ -158,9 +158,9 @@
     /// is left out.
     fn change_since(&mut self, inputs: &ShareInputs, now: Time) -> f64 {
         let fill = inputs.pool.fill();
-        let lately = fill - self.recent_fill.take(fill, now);
-        let beyond_chance = (lately.abs() - inputs.pool.swing()).max(0.0);
-        beyond_chance.copysign(lately) * inputs.pool.oldness()
+        let lately = fill - self.recent_fill.update(fill, now);
+        let beyond_chance = (lately.abs() - inputs.pool.fill_error()).max(0.0);
+        beyond_chance.copysign(lately) * inputs.pool.staleness()
     }
 
     /// Requests a second that this router may send while the pool is full.
@@ -173,15 +173,15 @@
     ) -> f64 {
         let hold = inputs.hold_seconds.unwrap_or(ASSUMED_HOLD);
         let sent = self.admitted.per_second(now);
-        let own = if usual_fill < inputs.full_from() {
-            let unused = 1.0 - HEADROOM * inputs.pool.oldness();
+        let own = if usual_fill < inputs.full_threshold() {
+            let unused = 1.0 - HEADROOM * inputs.pool.staleness();
             unused * sent / usual_fill.max(f64::MIN_POSITIVE)
         } else {
             sent
         };
-        let capacity = inputs.pool.slots * inputs.pool.back_ends as f64 / hold;
+        let capacity = inputs.pool.mean_slots * inputs.pool.back_ends as f64 / hold;
         let least = LEAST_SHARE * capacity / inputs.routers.max(1) as f64;
-        let excess = expected_fill - inputs.target;
+        let excess = expected_fill - inputs.target_fill;
         let correction = 1.0 - excess * hold / CORRECT.as_secs_f64();
         self.correction = correction.clamp(*CORRECTION.start(), *CORRECTION.end());
         own.max(least) * self.correction
--- a/crates/stacktack-core/src/direct/admission/rate.rs
+++ b/crates/stacktack-core/src/direct/admission/rate.rs
@@ -27,7 +27,7 @@
     /// One event that counts for so many.
     pub fn count(&mut self, events: f64, now: Time) {
         self.first.get_or_insert(now);
-        self.weight = self.weight_at(now) + events;
+        self.weight = self.decayed_count(now) + events;
         self.last = now;
     }
 
@@ -37,11 +37,11 @@
         let Some(first) = self.first else { return 0.0 };
         let seconds = self.time_constant.as_secs_f64();
         let seen = now.since(first).as_secs_f64().max(seconds / 8.0);
-        self.weight_at(now) / (seconds * (1.0 - (-seen / seconds).exp()))
+        self.decayed_count(now) / (seconds * (1.0 - (-seen / seconds).exp()))
     }
 
     /// Events of late: what is left of their weights.
-    pub fn weight_at(&self, now: Time) -> f64 {
+    pub fn decayed_count(&self, now: Time) -> f64 {
         let elapsed = now.since(self.last).as_secs_f64();
         self.weight * (-elapsed / self.time_constant.as_secs_f64()).exp()
     }
@@ -64,7 +64,7 @@
     }
 
     /// The value as it is now. Returns the mean.
-    pub fn take(&mut self, value: f64, now: Time) -> f64 {
+    pub fn update(&mut self, value: f64, now: Time) -> f64 {
         let mean = match self.value {
             None => value,
             Some((mean, at)) => {
--- a/crates/stacktack-core/src/direct/admission/rejections.rs
+++ b/crates/stacktack-core/src/direct/admission/rejections.rs
@@ -43,19 +43,19 @@
 
 impl Rejections {
     /// A back end took a request.
-    pub fn on_taken(&mut self, now: Time) {
+    pub fn on_accepted(&mut self, now: Time) {
         self.taken.count(1.0, now);
     }
 
     /// A back end rejected a request, or it was refused here.
-    pub fn on_not_taken(&mut self, now: Time) {
+    pub fn on_not_accepted(&mut self, now: Time) {
         self.not_taken.count(1.0, now);
     }
 
     /// Share of the requests that is not to be sent.
-    pub fn refused_share(&self, returned: bool, now: Time) -> f64 {
-        let taken = self.taken.weight_at(now);
-        let asked = taken + self.not_taken.weight_at(now);
+    pub fn shed_share(&self, returned: bool, now: Time) -> f64 {
+        let taken = self.taken.decayed_count(now);
+        let asked = taken + self.not_taken.decayed_count(now);
         let sends = if returned { RETURNED_SENDS } else { SENDS };
         ((asked - sends * taken - FEW) / asked.max(FEW)).max(0.0)
     }
--- a/crates/stacktack-core/src/direct/admission/returns.rs
+++ b/crates/stacktack-core/src/direct/admission/retry_after.rs
@@ -19,18 +19,18 @@
 
 /// The line of callers that were told to come back.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnLine {
+pub struct RetryAfterSchedule {
     /// Time up to which callers were told to come back.
     until: Time,
 }
 
-impl Default for ReturnLine {
+impl Default for RetryAfterSchedule {
     fn default() -> Self {
-        ReturnLine { until: Time(0) }
+        RetryAfterSchedule { until: Time(0) }
     }
 }
 
-impl ReturnLine {
+impl RetryAfterSchedule {
     /// Time after which one more caller may come back: when those who were told before
     /// have come back, at the rate at which requests are admitted. `draw` spreads
     /// callers where that is later than they will wait.
--- a/crates/stacktack-core/src/direct/admission/target_fill.rs
+++ b/crates/stacktack-core/src/direct/admission/target_fill.rs
@@ -51,7 +51,7 @@
 
 impl TargetFill {
     /// A first try was answered, late or not.
-    pub fn on_first_answer(&mut self, late: bool) {
+    pub fn on_first_try_response(&mut self, late: bool) {
         self.answers += 1;
         self.late += u32::from(late);
     }
--- a/crates/stacktack-core/src/direct/admission/tenant_shares.rs
+++ b/crates/stacktack-core/src/direct/admission/tenant_shares.rs
@@ -44,7 +44,7 @@
 
 impl TenantShares {
     /// A request of a tenant came, for a pool that is full or has room.
-    pub fn on_asked(&mut self, tenant: u64, full: bool, now: Time) {
+    pub fn on_request(&mut self, tenant: u64, full: bool, now: Time) {
         if self.tenants.len() >= MAXIMUM_TENANTS && !self.tenants.contains_key(&tenant) {
             self.tenants
                 .retain(|_, known| now.since(known.seen) < USUAL);
@@ -66,7 +66,7 @@
 
     /// Whether a tenant sends clearly more beyond its usual than the others do beyond
     /// theirs.
-    pub fn surges(&self, tenant: u64, now: Time) -> bool {
+    pub fn is_surging(&self, tenant: u64, now: Time) -> bool {
         let Some(known) = self.tenants.get(&tenant) else {
             return false;
         };
@@ -87,7 +87,7 @@
 impl TenantRates {
     /// By how much its usual rate may be higher than counted: two deviations of a count.
     fn doubt(&self, now: Time) -> f64 {
-        1.0 + 2.0 / self.usual.weight_at(now).max(1.0).sqrt()
+        1.0 + 2.0 / self.usual.decayed_count(now).max(1.0).sqrt()
     }
 
     /// Present and usual requests a second.
--- a/crates/stacktack-core/src/direct/traffic/configuration_changes.rs
+++ b/crates/stacktack-core/src/direct/traffic/configuration_changes.rs
@@ -12,7 +12,7 @@
 
 use crate::direct::back_ends::slow_start::SlowStart;
 use crate::direct::traffic::route::{
-    CallerLimits, KeyRing, Route, RouteTable, Tenant, TrafficConfiguration,
+    ApiKeyTable, CallerLimits, Route, RouteTable, Tenant, TrafficConfiguration,
 };
 
 /// Versions whose changes are remembered: at a change every 1.35 s those of the last
@@ -114,23 +114,26 @@
 ) -> BTreeMap<RouteKey, Option<Arc<Route>>> {
     let key = |route: &Route| (route.host.clone(), route.path_prefix.clone());
     let set = after
-        .shared()
+        .iter_shared()
         .filter(|route| before.get(&route.host, &route.path_prefix) != Some(route))
         .map(|route| (key(route), Some(route.clone())));
     let dropped = before
-        .shared()
+        .iter_shared()
         .filter(|route| after.get(&route.host, &route.path_prefix).is_none())
         .map(|route| (key(route), None));
     set.chain(dropped).collect()
 }
 
-fn changed_keys(before: &KeyRing, after: &KeyRing) -> BTreeMap<String, Option<Arc<Tenant>>> {
+fn changed_keys(
+    before: &ApiKeyTable,
+    after: &ApiKeyTable,
+) -> BTreeMap<String, Option<Arc<Tenant>>> {
     let set = after
-        .shared()
+        .iter_shared()
         .filter(|(key, tenant)| before.tenant(key) != Some(tenant))
         .map(|(key, tenant)| (key.to_owned(), Some(tenant.clone())));
     let dropped = before
-        .shared()
+        .iter_shared()
         .filter(|(key, _)| after.tenant(key).is_none())
         .map(|(key, _)| (key.to_owned(), None));
     set.chain(dropped).collect()
--- a/crates/stacktack-core/src/direct/traffic/route.rs
+++ b/crates/stacktack-core/src/direct/traffic/route.rs
@@ -134,13 +134,13 @@
     }
 
     /// All routes, as they are shared.
-    pub fn shared(&self) -> impl Iterator<Item = &Arc<Route>> {
+    pub fn iter_shared(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flat_map(HashMap::values)
     }
 
     /// All routes.
     pub fn iter(&self) -> impl Iterator<Item = &Route> {
-        self.shared().map(Arc::as_ref)
+        self.iter_shared().map(Arc::as_ref)
     }
 
     /// Number of routes.
@@ -190,14 +190,14 @@
 
 /// Tenants by key.
 #[derive(Clone, Debug, Default)]
-pub struct KeyRing {
+pub struct ApiKeyTable {
     tenants: HashMap<String, Arc<Tenant>>,
 }
 
-impl KeyRing {
+impl ApiKeyTable {
     /// A ring of tenants and their keys.
     pub fn new(tenants: impl IntoIterator<Item = (Tenant, Vec<String>)>) -> Self {
-        let mut ring = KeyRing::default();
+        let mut ring = ApiKeyTable::default();
         for (tenant, keys) in tenants {
             let tenant = Arc::new(tenant);
             for key in keys {
@@ -218,7 +218,7 @@
     }
 
     /// All keys with their tenants, as they are shared.
-    pub fn shared(&self) -> impl Iterator<Item = (&str, &Arc<Tenant>)> {
+    pub fn iter_shared(&self) -> impl Iterator<Item = (&str, &Arc<Tenant>)> {
         self.tenants
             .iter()
             .map(|(key, tenant)| (key.as_str(), tenant))
@@ -226,7 +226,8 @@
 
     /// All tenants with their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Tenant, &str)> {
-        self.shared().map(|(key, tenant)| (tenant.as_ref(), key))
+        self.iter_shared()
+            .map(|(key, tenant)| (tenant.as_ref(), key))
     }
 
     /// The tenant that holds a key.
@@ -270,7 +271,7 @@
     /// Routes.
     pub routes: RouteTable,
     /// Tenants by key; `None` when requests need no key.
-    pub keys: Option<KeyRing>,
+    pub keys: Option<ApiKeyTable>,
     /// Bounds on what a caller may send.
     pub limits: CallerLimits,
     /// What cold back ends bear, for pools whose back ends start slowly.
@@ -314,9 +315,9 @@
 
 impl From<TrafficDocument> for TrafficConfiguration {
     fn from(document: TrafficDocument) -> Self {
-        let keys = document
-            .keys
-            .map(|keys| KeyRing::new(keys.into_iter().map(|(tenant, key)| (tenant, vec![key]))));
+        let keys = document.keys.map(|keys| {
+            ApiKeyTable::new(keys.into_iter().map(|(tenant, key)| (tenant, vec![key])))
+        });
         TrafficConfiguration {
             version: document.version,
             revision: document.revision,
--- a/crates/stacktack-core/tests/admission/main.rs
+++ b/crates/stacktack-core/tests/admission/main.rs
@@ -168,17 +168,17 @@
         route: "a",
         tenant: None,
         objective: OBJECTIVE,
-        announced_patience: PATIENCE,
-        patience: PATIENCE,
-        repeated: false,
+        caller_timeout: PATIENCE,
+        remaining_timeout: PATIENCE,
+        is_retry: false,
     };
     let now = Time(1_000_000);
     let mut admission = PoolAdmission::default();
     let mut limit_after = |hold: Duration| {
         for _ in 0..1000 {
-            admission.on_whole(hold, 1.0, SLOTS);
+            admission.on_complete_response(hold, 1.0, SLOTS);
         }
-        admission.limit(&request, now).requests(SLOTS)
+        admission.slot_limit(&request, now).requests(SLOTS)
     };
     let long = limit_after(OBJECTIVE * 2);
     assert!((9.9..10.1).contains(&long), "a wait of a quarter: {long}");
@@ -196,29 +196,29 @@
         route: "a",
         tenant: None,
         objective: OBJECTIVE,
-        announced_patience: PATIENCE,
-        patience: PATIENCE,
-        repeated: false,
+        caller_timeout: PATIENCE,
+        remaining_timeout: PATIENCE,
+        is_retry: false,
     };
-    let unknown = admission.limit(&fresh, now).requests(SLOTS);
+    let unknown = admission.slot_limit(&fresh, now).requests(SLOTS);
     assert_eq!(unknown, 10.0, "a router that just started is bounded too");
     admission.on_admitted(&fresh, now);
-    admission.on_whole(Duration::from_millis(400), 1.0, SLOTS);
-    let usual = admission.limit(&fresh, now).requests(SLOTS);
+    admission.on_complete_response(Duration::from_millis(400), 1.0, SLOTS);
+    let usual = admission.slot_limit(&fresh, now).requests(SLOTS);
     let repeated = AdmissionRequest {
-        repeated: true,
+        is_retry: true,
         ..fresh
     };
     let returned = AdmissionRequest {
-        announced_patience: PATIENCE - Duration::from_millis(500),
-        patience: PATIENCE - Duration::from_millis(500),
+        caller_timeout: PATIENCE - Duration::from_millis(500),
+        remaining_timeout: PATIENCE - Duration::from_millis(500),
         ..fresh
     };
-    assert!(admission.limit(&repeated, now).requests(SLOTS) < usual);
+    assert!(admission.slot_limit(&repeated, now).requests(SLOTS) < usual);
     assert!(admission.has_returned(&returned));
-    assert_eq!(admission.limit(&returned, now).requests(SLOTS), usual);
+    assert_eq!(admission.slot_limit(&returned, now).requests(SLOTS), usual);
     assert_eq!(
-        admission.limit(&fresh, now).requests(0),
+        admission.slot_limit(&fresh, now).requests(0),
         f64::INFINITY,
         "the number of slots is not known"
     );
@@ -230,7 +230,7 @@
         slots: SLOTS,
         age: Some(age),
     };
-    PoolLoad::of(&[report; 6])
+    PoolLoad::from_reports(&[report; 6])
 }
 
 #[test]
@@ -240,12 +240,12 @@
         slots: SLOTS,
         age: age.map(Duration::from_millis),
     };
-    let known = PoolLoad::of(&[report(2.0, Some(20)), report(12.0, Some(2000))]);
-    let mean = known.expect("known").mean;
+    let known = PoolLoad::from_reports(&[report(2.0, Some(20)), report(12.0, Some(2000))]);
+    let mean = known.expect("known").mean_load;
     assert!(mean < 3.0, "{mean}");
     let half = [report(2.0, Some(20)), report(0.0, None), report(0.0, None)];
-    assert_eq!(PoolLoad::of(&half), None);
-    assert_eq!(PoolLoad::of(&[]), None);
+    assert_eq!(PoolLoad::from_reports(&half), None);
+    assert_eq!(PoolLoad::from_reports(&[]), None);
 }
 
 /// With loads known as they are now, requests waited at full homes up to a quarter above
@@ -254,16 +254,16 @@
 fn where_loads_are_known_now_each_back_ends_own_limit_holds() {
     let now = pool(12.0, Duration::ZERO).expect("known");
     assert!(now.is_full());
-    assert_eq!(now.limit(9.0), 9.0);
+    assert_eq!(now.back_end_limit(9.0), 9.0);
     let late = pool(12.0, Duration::from_secs(1)).expect("known");
-    assert!((late.limit(9.0) - 15.0).abs() < 1e-9);
+    assert!((late.back_end_limit(9.0) - 15.0).abs() < 1e-9);
 }
 
 #[test]
 fn a_full_pool_takes_a_rate_and_a_pool_with_room_takes_all() {
     let inputs = |mean| ShareInputs {
         pool: pool(mean, Duration::ZERO).expect("known"),
-        target: 1.2,
+        target_fill: 1.2,
         hold_seconds: Some(HOLD_SECONDS),
         routers: 103,
     };
@@ -272,20 +272,20 @@
     let mut now = Time(1_000_000);
     for _ in 0..400 {
         now = now + Duration::from_millis(25);
-        assert!(!share.is_needed(&inputs(4.0), now));
+        assert!(!share.is_enforced(&inputs(4.0), now));
         share.on_admitted(now);
     }
     let mut taken = 0;
     for _ in 0..500 {
         now = now + Duration::from_millis(4);
-        assert!(share.is_needed(&inputs(9.6), now));
-        if share.is_left(false) {
+        assert!(share.is_enforced(&inputs(9.6), now));
+        if share.has_permit(false) {
             share.on_admitted(now);
             taken += 1;
         }
     }
     assert!((120..=200).contains(&taken), "{taken} in two seconds");
-    assert!(!share.is_left(true), "new callers go first");
+    assert!(!share.has_permit(true), "new callers go first");
 }
 
 /// Without this routers sent 45,800 requests to six back ends that took 22,300 (103
@@ -297,9 +297,9 @@
         route: "a",
         tenant: None,
         objective: OBJECTIVE,
-        announced_patience: patience,
-        patience,
-        repeated: false,
+        caller_timeout: patience,
+        remaining_timeout: patience,
+        is_retry: false,
     };
     let mut admission = PoolAdmission::default();
     let mut now = Time(1_000_000);
@@ -311,7 +311,7 @@
         for number in 0..asked {
             now = now + Duration::from_millis(5);
             let draw = (number as f64 * 0.618).fract();
-            if !admission.is_rejected(&new, draw, now) {
+            if !admission.should_shed(&new, draw, now) {
                 sent += 1;
                 admission.on_outcome(sent % every == 0, now);
             }
@@ -321,7 +321,7 @@
     assert_eq!(tell(&mut admission, 1, 2000).0, 2000, "all are taken");
     let (sent, now) = tell(&mut admission, 4, 4000);
     assert!((200..2200).contains(&sent), "{sent} sent, a quarter taken");
-    assert!(admission.is_rejected(&returned, 0.1, now));
+    assert!(admission.should_shed(&returned, 0.1, now));
     let (sent, _) = tell(&mut admission, 1, 4000);
     assert!(sent > 3000, "{sent} sent once all are taken again");
 }
--- a/crates/stacktack-core/tests/admission/world.rs
+++ b/crates/stacktack-core/tests/admission/world.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
-use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission, PoolAnswer};
+use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission, PoolDecision};
 use stacktack_core::direct::back_ends::load::BackEndLoad;
 use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
@@ -246,9 +246,9 @@
             route: self.plan.kinds[kind].route,
             tenant: Some(kind as u64),
             objective: OBJECTIVE,
-            announced_patience: patience,
-            patience,
-            repeated: false,
+            caller_timeout: patience,
+            remaining_timeout: patience,
+            is_retry: false,
         };
         let part: u64 = self.draw.random();
         let Some((back_end, load)) = self.choose(router, &request, part) else {
@@ -281,7 +281,7 @@
         let fleet = self.plan.routers;
         let slots = self.plan.slots;
         let Router { admission, loads } = &mut self.routers[router];
-        let limit = admission.limit(request, now);
+        let limit = admission.slot_limit(request, now);
         let reports: Vec<LoadReport> = loads
             .iter()
             .map(|load| LoadReport {
@@ -290,16 +290,18 @@
                 age: load.news_age(now),
             })
             .collect();
-        let pool = PoolLoad::of(&reports).filter(|_| self.plan.admission);
+        let pool = PoolLoad::from_reports(&reports).filter(|_| self.plan.admission);
         let hold = admission.hold_seconds().unwrap_or(HOLD_SECONDS);
         let expected =
-            |report: &LoadReport| pool.map_or(report.load, |pool| pool.expected(report, hold));
+            |report: &LoadReport| pool.map_or(report.load, |pool| pool.expected_load(report, hold));
         let candidate = |(index, report): (usize, &LoadReport)| DirectCandidate {
             index,
             id_hash: index as u64,
             load: expected(report),
             limit: if self.plan.admission && report.age.is_some() {
-                pool.map_or(f64::INFINITY, |pool| pool.limit(limit.requests(slots)))
+                pool.map_or(f64::INFINITY, |pool| {
+                    pool.back_end_limit(limit.requests(slots))
+                })
             } else {
                 f64::INFINITY
             },
@@ -313,8 +315,8 @@
             bounds = bounds.in_full_pool();
         }
         let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
-        let answer = pool.map(|pool| admission.ask(request, pool, fleet, now));
-        let taken = answer.is_none_or(|answer| answer == PoolAnswer::Taken);
+        let answer = pool.map(|pool| admission.decide(request, pool, fleet, now));
+        let taken = answer.is_none_or(|answer| answer == PoolDecision::Admitted);
         (taken && chosen.has_room()).then_some((chosen.index, chosen.load))
     }
 
@@ -329,7 +331,7 @@
         let draw: f64 = self.draw.random();
         let admission = &mut self.routers[router].admission;
         let come_back = admission.on_refused(request, draw, now);
-        assert!(come_back <= request.patience / 3, "{come_back:?}");
+        assert!(come_back <= request.remaining_timeout / 3, "{come_back:?}");
         let held: u32 = (0..self.plan.back_ends).map(|index| self.held(index)).sum();
         let slots = self.plan.slots * self.plan.back_ends as u32;
         let beside_room = f64::from(held) < 0.9 * f64::from(slots);
@@ -377,7 +379,7 @@
             let in_time = waited + first <= OBJECTIVE;
             if self.plan.hears_late && !next.returned {
                 let router = &mut self.routers[next.router];
-                router.admission.on_first_answer(!in_time);
+                router.admission.on_first_try_response(!in_time);
             }
             let tally = &mut self.tallies[next.kind];
             tally.in_time += usize::from(in_time);
@@ -408,7 +410,7 @@
         let slots = self.plan.slots;
         router
             .admission
-            .on_whole(now.since(done.at), done.load, slots);
+            .on_complete_response(now.since(done.at), done.load, slots);
         router.loads[back_end].on_end(now);
         self.start_next(back_end);
     }
--- a/crates/stacktack-core/tests/closed_members.rs
+++ b/crates/stacktack-core/tests/closed_members.rs
@@ -106,9 +106,12 @@
         slots: 64,
         age: age.map(Duration::from_millis),
     };
-    assert!((report(Some(0)).left(0.5) - 12.0).abs() < 1e-9);
-    assert!(report(Some(2000)).left(0.5) < 0.3);
-    assert!((report(None).left(0.5) - 12.0).abs() < 1e-9, "own requests");
+    assert!((report(Some(0)).residual_load(0.5) - 12.0).abs() < 1e-9);
+    assert!(report(Some(2000)).residual_load(0.5) < 0.3);
+    assert!(
+        (report(None).residual_load(0.5) - 12.0).abs() < 1e-9,
+        "own requests"
+    );
 }
 
 fn back_end() -> BackEnd {
--- a/crates/stacktack-core/tests/configuration_changes.rs
+++ b/crates/stacktack-core/tests/configuration_changes.rs
@@ -9,7 +9,7 @@
     ConfigurationChanges, ConfigurationHistory,
 };
 use stacktack_core::direct::traffic::route::{
-    KeyRing, Route, RouteKind, RouteTable, Target, Tenant, TrafficConfiguration,
+    ApiKeyTable, Route, RouteKind, RouteTable, Target, Tenant, TrafficConfiguration,
 };
 
 fn route(number: u32, timeout_seconds: u64) -> Route {
@@ -42,7 +42,7 @@
         version: 1,
         revision: 10,
         routes: RouteTable::new((0..20).map(|number| route(number, 1))),
-        keys: Some(KeyRing::default()),
+        keys: Some(ApiKeyTable::default()),
         ..TrafficConfiguration::default()
     }
 }
@@ -59,7 +59,7 @@
     after
 }
 
-fn keys(configuration: &mut TrafficConfiguration) -> &mut KeyRing {
+fn keys(configuration: &mut TrafficConfiguration) -> &mut ApiKeyTable {
     configuration.keys.as_mut().expect("keys")
 }
 
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -17,7 +17,7 @@
 use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptLedger};
 use stacktack_core::direct::request::events::EventSplitter;
 use stacktack_core::direct::traffic::route::{
-    CallerLimits, KeyRing, Route, RouteKind, RouteTable, Target, Tenant, TrafficConfiguration,
+    ApiKeyTable, CallerLimits, Route, RouteKind, RouteTable, Target, Tenant, TrafficConfiguration,
     TrafficDocument,
 };
 use stacktack_core::time::Time;
@@ -71,7 +71,7 @@
         version: 9,
         revision: 31,
         routes: RouteTable::new([route("r", "a.example", "/x/")]),
-        keys: Some(KeyRing::new([(
+        keys: Some(ApiKeyTable::new([(
             tenant,
             vec!["k1".to_owned(), "k2".to_owned()],
         )])),
--- a/crates/stacktack-core/tests/passed_by_members/world.rs
+++ b/crates/stacktack-core/tests/passed_by_members/world.rs
@@ -223,7 +223,7 @@
                 age: load.news_age(now),
             })
             .collect();
-        let pool = PoolLoad::of(&reports);
+        let pool = PoolLoad::from_reports(&reports);
         let hold = HOLD.as_secs_f64();
         let candidates: Vec<DirectCandidate> = reports
             .iter()
@@ -231,7 +231,7 @@
             .map(|(index, report)| DirectCandidate {
                 index,
                 id_hash: index as u64,
-                load: pool.map_or(report.load, |pool| pool.expected(report, hold)),
+                load: pool.map_or(report.load, |pool| pool.expected_load(report, hold)),
                 limit: f64::INFINITY,
                 same_zone: true,
                 standing: Standing::Good,
--- a/crates/stacktack-core/tests/returned_callers.rs
+++ b/crates/stacktack-core/tests/returned_callers.rs
@@ -16,9 +16,9 @@
         route: "r",
         tenant: None,
         objective: Duration::from_millis(400),
-        announced_patience: patience,
-        patience,
-        repeated: false,
+        caller_timeout: patience,
+        remaining_timeout: patience,
+        is_retry: false,
     }
 }
 
--- a/crates/stacktack-core/tests/target_fill.rs
+++ b/crates/stacktack-core/tests/target_fill.rs
@@ -44,7 +44,7 @@
         for step in 0..steps {
             self.now = self.now + Duration::from_secs(1) / ANSWERS;
             let late = self.random.random::<f64>() < late_share(self.fill, knee);
-            self.target.on_first_answer(late);
+            self.target.on_first_try_response(late);
             let target = self.target.target(MOST, self.fill, self.now);
             let goal = target.min(offered);
             self.fill += (goal - self.fill) * 2.0 / f64::from(ANSWERS);
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -153,7 +153,7 @@
     pub fn on_whole(&self) {
         let after = self.written.elapsed();
         self.router.with_admission(&self.pool, |admission| {
-            admission.on_whole(after, self.load, self.slots);
+            admission.on_complete_response(after, self.load, self.slots);
         });
     }
 
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -112,7 +112,7 @@
             |(candidate, _): &(&DirectCandidate, _)| candidate.open && candidate.standing == best;
         let pairs = self.list.iter().zip(&self.reports).filter(stands_best);
         let reports: Vec<LoadReport> = pairs.map(|(_, report)| *report).collect();
-        PoolLoad::of(&reports)
+        PoolLoad::from_reports(&reports)
     }
 
     /// Mean of the loads, 0 for no member.
@@ -126,11 +126,11 @@
     pub fn judge_by(&mut self, pool: &PoolLoad, hold_seconds: f64) {
         for (candidate, report) in self.list.iter_mut().zip(&self.reports) {
             candidate.load = if candidate.open {
-                pool.expected(report, hold_seconds)
+                pool.expected_load(report, hold_seconds)
             } else {
-                report.left(hold_seconds)
+                report.residual_load(hold_seconds)
             };
-            candidate.limit = pool.limit(candidate.limit);
+            candidate.limit = pool.back_end_limit(candidate.limit);
         }
     }
 }
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -72,8 +72,10 @@
 
     /// Age of the pool's load for logs, in milliseconds.
     pub(crate) fn pool_age_text(&self) -> String {
-        self.pool_load
-            .map_or_else(|| "-".to_owned(), |pool| pool.age.as_millis().to_string())
+        self.pool_load.map_or_else(
+            || "-".to_owned(),
+            |pool| pool.mean_age.as_millis().to_string(),
+        )
     }
 
     /// Load of the pool for logs, in multiples of its slots.
--- a/crates/stacktack-direct/src/room.rs
+++ b/crates/stacktack-direct/src/room.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use stacktack_core::direct::admission::pool_load::PoolLoad;
-use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission, PoolAnswer, SlotLimit};
+use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission, PoolDecision, SlotLimit};
 
 use crate::choice::Choice;
 use crate::exchange::Exchange;
@@ -51,9 +51,9 @@
             route: &self.route.name,
             tenant: self.tenant.as_ref().map(|tenant| tenant.name_hash()),
             objective: self.route.objective,
-            announced_patience: patience,
-            patience: patience.saturating_sub(self.elapsed()),
-            repeated,
+            caller_timeout: patience,
+            remaining_timeout: patience.saturating_sub(self.elapsed()),
+            is_retry: repeated,
         };
         self.router
             .with_admission(pool_name(self.pool()), |admission| act(admission, &request))
@@ -62,13 +62,15 @@
     /// The limit that a back end's load has to be under to get this request.
     pub(crate) fn slot_limit(&self) -> SlotLimit {
         let now = self.router.now();
-        self.with_admission(|admission, request| admission.limit(request, now))
+        self.with_admission(|admission, request| admission.slot_limit(request, now))
     }
 
     /// The same limit for a repeat, while the attempt before it is still under way.
     pub(crate) fn repeat_slot_limit(&self) -> SlotLimit {
         let now = self.router.now();
-        self.with_admission_of(true, |admission, request| admission.limit(request, now))
+        self.with_admission_of(true, |admission, request| {
+            admission.slot_limit(request, now)
+        })
     }
 
     /// Time that a request holds a slot of its pool, in seconds; `None` before the first.
@@ -94,12 +96,12 @@
         let routers = self.router.routers();
         let draw: f64 = rand::rng().random();
         self.with_admission(|admission, request| {
-            let answer = pool.map(|pool| admission.ask(request, pool, routers, now));
+            let answer = pool.map(|pool| admission.decide(request, pool, routers, now));
             match answer {
-                Some(PoolAnswer::ShareUsed) => Some(RoomCause::PoolShare),
-                Some(PoolAnswer::TenantShareUsed) => Some(RoomCause::TenantShare),
-                Some(PoolAnswer::Taken) | None => {
-                    let rejected = admission.is_rejected(request, draw, now);
+                Some(PoolDecision::RouterShareExhausted) => Some(RoomCause::PoolShare),
+                Some(PoolDecision::TenantShareExceeded) => Some(RoomCause::TenantShare),
+                Some(PoolDecision::Admitted) | None => {
+                    let rejected = admission.should_shed(request, draw, now);
                     rejected.then_some(RoomCause::BackEndsReject)
                 }
             }
@@ -113,7 +115,7 @@
             let now = self.router.now();
             let (returned, calm) = self.with_admission(|admission, request| {
                 let returned = admission.has_returned(request);
-                let calm = admission.is_calm(now);
+                let calm = admission.has_no_recent_refusals(now);
                 admission.on_admitted(request, now);
                 (returned, calm)
             });
@@ -133,7 +135,7 @@
         let late = self.elapsed() > self.route.objective;
         self.router
             .with_admission(pool_name(self.pool()), |admission| {
-                admission.on_first_answer(late);
+                admission.on_first_try_response(late);
             });
     }
 
