--- a/crates/stacktack-core/src/direct/back_ends/back_end.rs
+++ b/crates/stacktack-core/src/direct/back_ends/back_end.rs
@@ -11,10 +11,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::direct::back_ends::directory::BackEndEntry;
+use crate::direct::back_ends::health::{Health, MemberStats, PoolMedians};
 use crate::direct::back_ends::load::BackEndLoad;
-use crate::direct::back_ends::slow_start::ColdGate;
-use crate::direct::back_ends::standing::{MemberRecord, PoolMeans, Standing};
-use crate::direct::back_ends::suspicion::{RequestRisk, Suspicion};
+use crate::direct::back_ends::outlier_detector::{OutlierDetector, Retryability};
+use crate::direct::back_ends::slow_start::SlowStartLimiter;
 use crate::retry::doubled;
 use crate::time::Time;
 
@@ -62,7 +62,7 @@
     /// Requests in flight there, of this router and of others.
     pub load: BackEndLoad,
     /// What may be sent there while it is cold.
-    cold: Option<ColdGate>,
+    cold: Option<SlowStartLimiter>,
     /// Whether another instance answers at its address, until the directory tells more.
     replaced: bool,
     failures_in_a_row: u32,
@@ -70,7 +70,7 @@
     failure_share: f64,
     /// Failure share of its pool at the last choice from it.
     pub(crate) usual_failure_share: f64,
-    suspicion: Suspicion,
+    suspicion: OutlierDetector,
     /// Peers that said of late that they suspect it, and when.
     accusations: Vec<(SocketAddr, Time)>,
     last_success: Option<Time>,
@@ -93,7 +93,7 @@
             ejected_until: None,
             failure_share: 0.0,
             usual_failure_share: 0.0,
-            suspicion: Suspicion::default(),
+            suspicion: OutlierDetector::default(),
             accusations: Vec::new(),
             last_success: None,
             first_byte_seconds: None,
@@ -124,13 +124,13 @@
     /// It is taken to be cold at least until then, whatever its entry says.
     pub(crate) fn assume_cold(&mut self, until: Time, now: Time) {
         self.cold
-            .get_or_insert_with(|| ColdGate::new(until, now))
+            .get_or_insert_with(|| SlowStartLimiter::new(until, now))
             .extend(until);
     }
 
     /// Sets what may be sent there while it is cold; `None` where cold back ends of its
     /// pool bear as much as others. Returns whether it has turned warm.
-    pub(crate) fn update_cold(&mut self, rate: Option<f64>, now: Time) -> bool {
+    pub(crate) fn update_slow_start(&mut self, rate: Option<f64>, now: Time) -> bool {
         let Some(gate) = &mut self.cold else {
             return false;
         };
@@ -147,7 +147,7 @@
     }
 
     /// Whether what may be sent there is bounded, since it is cold or was a moment ago.
-    pub(crate) fn is_gated(&self) -> bool {
+    pub(crate) fn is_rate_limited(&self) -> bool {
         self.cold.is_some()
     }
 
@@ -159,7 +159,7 @@
     /// Whether it may get one more request now: its address is still its own, and its
     /// start is over or allows one more.
     pub fn may_get_requests(&self, now: Time) -> bool {
-        !self.replaced && self.cold.is_none_or(|gate| gate.has_room(now))
+        !self.replaced && self.cold.is_none_or(|gate| gate.allows_request(now))
     }
 
     /// A request was sent there.
@@ -211,7 +211,7 @@
 
     /// A peer's failures make it suspect the back end. Returns whether enough
     /// peers accuse it from now on.
-    pub fn on_accused(&mut self, peer: SocketAddr, now: Time) -> bool {
+    pub fn on_suspect_report(&mut self, peer: SocketAddr, now: Time) -> bool {
         let before = self.is_accused(now);
         self.accusations
             .retain(|(accuser, at)| *accuser != peer && now.since(*at) < ACCUSATION_AGE);
@@ -264,8 +264,8 @@
     }
 
     /// What was seen of it, to compare others with.
-    pub(crate) fn record(&self, now: Time) -> MemberRecord {
-        MemberRecord {
+    pub(crate) fn record(&self, now: Time) -> MemberStats {
+        MemberStats {
             failure_share: self.failure_share,
             first_byte_seconds: self.first_byte_seconds,
             is_accused: self.is_accused(now),
@@ -273,27 +273,27 @@
     }
 
     /// How well it stands for a request, among the members of its pool.
-    pub(crate) fn standing(&self, now: Time, pool: &PoolMeans, request: RequestRisk) -> Standing {
+    pub(crate) fn standing(&self, now: Time, pool: &PoolMedians, request: Retryability) -> Health {
         let ejected = self.ejected_until.is_some_and(|until| now < until);
         if ejected || self.is_silent(now) {
-            return Standing::Ejected;
+            return Health::Ejected;
         }
-        let failing = self.suspicion.is_suspect() && !self.may_be_tried(now, request);
+        let failing = self.suspicion.is_suspect() && !self.allows_trial(now, request);
         if failing || (pool.believes_accusations && self.is_accused(now)) {
-            return Standing::Degraded;
+            return Health::Degraded;
         }
         if self.is_slow(pool) && now.since(self.last_used) <= FORGET {
-            return Standing::Degraded;
+            return Health::Degraded;
         }
-        Standing::Good
+        Health::Good
     }
 
     /// Whether a suspect may get this request: one at a time.
-    fn may_be_tried(&self, now: Time, request: RequestRisk) -> bool {
-        self.load.in_flight == 0 && self.suspicion.may_be_tried(now, request)
+    fn allows_trial(&self, now: Time, request: Retryability) -> bool {
+        self.load.in_flight == 0 && self.suspicion.allows_trial(now, request)
     }
 
-    fn is_slow(&self, pool: &PoolMeans) -> bool {
+    fn is_slow(&self, pool: &PoolMedians) -> bool {
         match (self.first_byte_seconds, pool.first_byte_seconds) {
             (Some(own), Some(mean)) => own > SLOW_FACTOR * mean,
             _ => false,
@@ -302,6 +302,6 @@
 }
 
 /// The gate of a back end whose entry says that it is cold.
-fn cold_gate(entry: &BackEndEntry, now: Time) -> Option<ColdGate> {
-    (entry.cold_for > Duration::ZERO).then(|| ColdGate::new(now + entry.cold_for, now))
+fn cold_gate(entry: &BackEndEntry, now: Time) -> Option<SlowStartLimiter> {
+    (entry.cold_for > Duration::ZERO).then(|| SlowStartLimiter::new(now + entry.cold_for, now))
 }
--- a/crates/stacktack-core/src/direct/back_ends/compact_delta.rs
+++ b/crates/stacktack-core/src/direct/back_ends/compact_delta.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::selector::Labels;
-use crate::direct::back_ends::directory::{BackEndEntry, Departure, DirectoryDelta};
+use crate::direct::back_ends::directory::{BackEndEntry, DirectoryDelta, RemovedEntry};
 
 /// A [`DirectoryDelta`] in short form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     /// Labels that entries name by their place here.
     labels: Vec<Labels>,
     present: Vec<CompactEntry>,
-    gone: Vec<Departure>,
+    gone: Vec<RemovedEntry>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/stacktack-core/src/direct/back_ends/directory.rs
+++ b/crates/stacktack-core/src/direct/back_ends/directory.rs
@@ -31,7 +31,7 @@
 
 impl BackEndEntry {
     /// Whether this is a later life of the same id than another entry tells of.
-    pub fn is_later_life_than(&self, other: &BackEndEntry) -> bool {
+    pub fn is_newer_instance_than(&self, other: &BackEndEntry) -> bool {
         other.born != 0 && self.born > other.born
     }
 
@@ -53,39 +53,39 @@
 
 /// One life of a back end: its id and its birth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LifeId([u8; 4]);
+pub struct InstanceId([u8; 4]);
 
-impl LifeId {
+impl InstanceId {
     /// The life that an entry of the directory describes.
     pub fn of(entry: &BackEndEntry) -> Self {
         let hash = xxh3_64_with_seed(entry.id.as_bytes(), entry.born);
         let [first, second, third, fourth, ..] = hash.to_le_bytes();
-        LifeId([first, second, third, fourth])
+        InstanceId([first, second, third, fourth])
     }
 }
 
 /// A life that ended without having said that it leaves, as far as the directory tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct VanishedLife {
+pub struct VanishedInstance {
     /// Id of the back end.
     pub back_end: String,
     /// Its life.
-    pub life: LifeId,
+    pub instance: InstanceId,
 }
 
-impl VanishedLife {
+impl VanishedInstance {
     /// The life that an entry described, unless that was leaving.
     pub fn of(entry: &BackEndEntry) -> Option<Self> {
-        (!entry.leaving).then(|| VanishedLife {
+        (!entry.leaving).then(|| VanishedInstance {
             back_end: entry.id.clone(),
-            life: LifeId::of(entry),
+            instance: InstanceId::of(entry),
         })
     }
 }
 
 /// An entry that left the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Departure {
+pub struct RemovedEntry {
     /// Id of the back end.
     pub id: String,
     /// Revision of the directory at which it left, or by which it had left.
@@ -102,7 +102,7 @@
     /// Entries that are new or changed.
     pub present: Vec<BackEndEntry>,
     /// Entries that left.
-    pub gone: Vec<Departure>,
+    pub gone: Vec<RemovedEntry>,
 }
 
 impl DirectoryDelta {
@@ -127,9 +127,9 @@
     /// Ids that were not known before.
     pub joined: Vec<String>,
     /// Ids that were known under an earlier life.
-    pub reborn: Vec<String>,
+    pub restarted: Vec<String>,
     /// Lives that ended unplanned, of ids that are gone or in another life.
-    pub vanished: Vec<VanishedLife>,
+    pub vanished: Vec<VanishedInstance>,
     /// Ids that take no new work from now on.
     pub leaving: Vec<String>,
     /// Ids that are gone.
--- a/crates/stacktack-core/src/direct/back_ends/standing.rs
+++ b/crates/stacktack-core/src/direct/back_ends/health.rs
@@ -6,7 +6,7 @@
 
 /// How well a back end stands; lower is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum Health {
     /// Nothing speaks against it.
     Good,
     /// It fails or is slow clearly more often than its pool.
@@ -15,20 +15,20 @@
     Ejected,
 }
 
-impl Standing {
+impl Health {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Good => "good",
-            Standing::Degraded => "degraded",
-            Standing::Ejected => "ejected",
+            Health::Good => "good",
+            Health::Degraded => "degraded",
+            Health::Ejected => "ejected",
         }
     }
 }
 
 /// What a router saw of one member of a pool, as far as others are compared with it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct MemberRecord {
+pub(crate) struct MemberStats {
     /// Share of its outcomes of late that were failures.
     pub(crate) failure_share: f64,
     /// Its usual time to the first byte.
@@ -38,7 +38,7 @@
 }
 
 /// What is usual in a pool.
-pub(crate) struct PoolMeans {
+pub(crate) struct PoolMedians {
     /// Failure share of the middle member.
     pub(crate) failure_share: f64,
     /// Time to the first byte of the middle member.
@@ -47,16 +47,16 @@
     pub(crate) believes_accusations: bool,
 }
 
-impl PoolMeans {
+impl PoolMedians {
     /// What is usual among these members.
-    pub(crate) fn of(members: impl Iterator<Item = MemberRecord>) -> Self {
-        let members: Vec<MemberRecord> = members.collect();
+    pub(crate) fn of(members: impl Iterator<Item = MemberStats>) -> Self {
+        let members: Vec<MemberStats> = members.collect();
         let shares = members.iter().map(|member| member.failure_share);
         let latencies = members
             .iter()
             .filter_map(|member| member.first_byte_seconds);
         let accused = members.iter().filter(|member| member.is_accused).count();
-        PoolMeans {
+        PoolMedians {
             failure_share: middle(shares.collect()).unwrap_or(0.0),
             first_byte_seconds: middle(latencies.collect()),
             believes_accusations: accused as f64 <= members.len() as f64 * ACCUSED_SHARE,
--- a/crates/stacktack-core/src/direct/back_ends/mod.rs
+++ b/crates/stacktack-core/src/direct/back_ends/mod.rs
@@ -5,18 +5,18 @@
 //! - [`compact_delta`]: a short form of directory news, for the wire.
 //! - [`load`]: requests in flight at a back end.
 //! - [`slow_start`]: what the fleet sends a back end that is cold.
-//! - [`standing`]: how well a back end stands against its pool.
-//! - [`suspicion`]: whether a back end fails more often than its pool.
+//! - [`health`]: outlier-detection state of a back end against its pool.
+//! - [`outlier_detector`]: whether a back end fails more often than its pool.
 //! - [`work_time`]: how long work takes at a back end, beside what is usual.
 //! - [`zone_drain`]: zones whose back ends get no requests.
 
 pub mod back_end;
 pub mod compact_delta;
 pub mod directory;
+pub mod health;
 pub mod load;
+pub mod outlier_detector;
 pub mod slow_start;
-pub mod standing;
-pub mod suspicion;
 pub mod work_time;
 pub mod zone_drain;
 
@@ -24,11 +24,11 @@
 
 use crate::direct::back_ends::back_end::BackEnd;
 use crate::direct::back_ends::directory::{
-    BackEndEntry, Departure, DirectoryChange, DirectoryDelta, VanishedLife,
+    BackEndEntry, DirectoryChange, DirectoryDelta, RemovedEntry, VanishedInstance,
 };
+use crate::direct::back_ends::health::{Health, PoolMedians};
+use crate::direct::back_ends::outlier_detector::Retryability;
 use crate::direct::back_ends::slow_start::{KnownFleet, SlowStart};
-use crate::direct::back_ends::standing::{PoolMeans, Standing};
-use crate::direct::back_ends::suspicion::RequestRisk;
 use crate::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
 use crate::time::Time;
 
@@ -40,7 +40,7 @@
 pub struct BackEnds {
     members: HashMap<String, BackEnd>,
     /// Departures after [`BackEnds::known_from`], the oldest first.
-    departures: VecDeque<Departure>,
+    departures: VecDeque<RemovedEntry>,
     /// Revision from which on every departure is remembered; `None` while no
     /// whole directory was taken.
     known_from: Option<u64>,
@@ -51,11 +51,11 @@
     pub fn upsert(&mut self, entry: BackEndEntry, now: Time, change: &mut DirectoryChange) {
         match self.members.get_mut(&entry.id) {
             Some(known) if known.entry.revision > entry.revision => {}
-            Some(known) if entry.born != 0 && known.entry.is_later_life_than(&entry) => {}
-            Some(known) if entry.is_later_life_than(&known.entry) => {
+            Some(known) if entry.born != 0 && known.entry.is_newer_instance_than(&entry) => {}
+            Some(known) if entry.is_newer_instance_than(&known.entry) => {
                 // Nothing that was believed of the life before holds for this one.
-                change.reborn.push(entry.id.clone());
-                change.vanished.extend(VanishedLife::of(&known.entry));
+                change.restarted.push(entry.id.clone());
+                change.vanished.extend(VanishedInstance::of(&known.entry));
                 *known = BackEnd::new(entry, now);
             }
             Some(known) => {
@@ -85,13 +85,13 @@
 
     /// The directory no longer lists a back end, unless something newer is known
     /// of it.
-    pub fn remove(&mut self, departure: Departure, change: &mut DirectoryChange) {
+    pub fn remove(&mut self, departure: RemovedEntry, change: &mut DirectoryChange) {
         let known = self.members.get(&departure.id);
         if known.is_none_or(|known| known.entry.revision > departure.revision) {
             return;
         }
         if let Some(known) = self.members.remove(&departure.id) {
-            change.vanished.extend(VanishedLife::of(&known.entry));
+            change.vanished.extend(VanishedInstance::of(&known.entry));
         }
         change.gone.push(departure.id.clone());
         self.departures.push_back(departure);
@@ -103,12 +103,12 @@
     }
 
     /// Members that a whole directory as of a revision does not list.
-    pub fn missing_from(&self, listed: &[BackEndEntry], revision: u64) -> Vec<Departure> {
+    pub fn missing_from(&self, listed: &[BackEndEntry], revision: u64) -> Vec<RemovedEntry> {
         let listed: HashSet<&str> = listed.iter().map(|entry| entry.id.as_str()).collect();
         self.members
             .keys()
             .filter(|id| !listed.contains(id.as_str()))
-            .map(|id| Departure {
+            .map(|id| RemovedEntry {
                 id: id.clone(),
                 revision,
             })
@@ -116,7 +116,7 @@
     }
 
     /// A whole directory as of a revision was taken.
-    pub fn on_whole(&mut self, revision: u64) {
+    pub fn on_snapshot(&mut self, revision: u64) {
         self.known_from.get_or_insert(revision);
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// The back end that a short id stands for.
-    pub fn id_of(&self, short: ShortId) -> Option<&str> {
+    pub fn resolve_short_id(&self, short: ShortId) -> Option<&str> {
         self.members
             .values()
             .find(|member| ShortId::of(member.id_hash) == short)
@@ -172,7 +172,7 @@
     }
 
     /// Number of back ends that take new work.
-    pub fn working(&self) -> usize {
+    pub fn count_accepting_work(&self) -> usize {
         self.members
             .values()
             .filter(|member| !member.entry.leaving)
@@ -181,18 +181,21 @@
 
     /// Sets what this router may send to members that are cold. Returns the ids of those
     /// that are cold no longer.
-    pub fn update_cold(
+    pub fn update_slow_start(
         &mut self,
         slow_starts: &[SlowStart],
         fleet: &KnownFleet<'_>,
         now: Time,
     ) -> Vec<String> {
         let mut warm = Vec::new();
-        let gated = self.members.values_mut().filter(|member| member.is_gated());
+        let gated = self
+            .members
+            .values_mut()
+            .filter(|member| member.is_rate_limited());
         for member in gated {
-            let rate = SlowStart::of(slow_starts, &member.entry.labels)
-                .map(|slow_start| slow_start.router_share(fleet, member.id_hash));
-            if member.update_cold(rate, now) {
+            let rate = SlowStart::for_labels(slow_starts, &member.entry.labels)
+                .map(|slow_start| slow_start.router_rate(fleet, member.id_hash));
+            if member.update_slow_start(rate, now) {
                 warm.push(member.entry.id.clone());
             }
         }
@@ -208,7 +211,7 @@
             if member.entry.zone() != Some(zone) {
                 continue;
             }
-            if let Some(slow_start) = SlowStart::of(slow_starts, &member.entry.labels) {
+            if let Some(slow_start) = SlowStart::for_labels(slow_starts, &member.entry.labels) {
                 member.assume_cold(now + slow_start.duration, now);
                 count += 1;
             }
@@ -221,9 +224,9 @@
     pub fn pool(
         &mut self,
         now: Time,
-        request: RequestRisk,
+        request: Retryability,
         meets: impl Fn(&BackEndEntry) -> bool,
-    ) -> Vec<(&BackEnd, Standing)> {
+    ) -> Vec<(&BackEnd, Health)> {
         let members = self
             .members
             .values_mut()
@@ -233,12 +236,12 @@
     }
 
     /// Loads that members told of late, the newest first.
-    pub fn told_loads(&self, now: Time) -> Vec<LoadNews> {
+    pub fn reported_loads(&self, now: Time) -> Vec<LoadNews> {
         let mut told: Vec<LoadNews> = self
             .members
             .values()
             .filter_map(|member| {
-                let load = member.load.told(now)?;
+                let load = member.load.reported(now)?;
                 LoadNews::new(ShortId::of(member.id_hash), load.requests, load.at, now)
             })
             .collect();
@@ -254,7 +257,7 @@
             .members
             .values()
             .filter(|member| member.load.in_flight > 0)
-            .filter(|member| all || member.load.told(now).is_none())
+            .filter(|member| all || member.load.reported(now).is_none())
             .map(|member| {
                 let load = u16::try_from(member.load.in_flight).unwrap_or(u16::MAX);
                 (ShortId::of(member.id_hash), load)
@@ -265,7 +268,7 @@
     }
 
     /// Takes loads that back ends told another router.
-    pub fn take_told_loads(&mut self, news: &[LoadNews], now: Time) {
+    pub fn merge_reported_loads(&mut self, news: &[LoadNews], now: Time) {
         if news.is_empty() {
             return;
         }
@@ -275,7 +278,7 @@
             if let Some(load) = news.get(&ShortId::of(member.id_hash)) {
                 member
                     .load
-                    .on_told(u32::from(load.requests), load.told_at(now));
+                    .on_report(u32::from(load.requests), load.told_at(now));
             }
         }
     }
@@ -304,9 +307,9 @@
 fn standings(
     mut members: Vec<&mut BackEnd>,
     now: Time,
-    request: RequestRisk,
-) -> Vec<(&BackEnd, Standing)> {
-    let means = PoolMeans::of(members.iter().map(|member| member.record(now)));
+    request: Retryability,
+) -> Vec<(&BackEnd, Health)> {
+    let means = PoolMedians::of(members.iter().map(|member| member.record(now)));
     for member in &mut members {
         member.usual_failure_share = means.failure_share;
     }
--- a/crates/stacktack-core/src/direct/back_ends/suspicion.rs
+++ b/crates/stacktack-core/src/direct/back_ends/outlier_detector.rs
@@ -37,16 +37,16 @@
 
 /// What a failure costs a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestRisk {
+pub enum Retryability {
     /// It can be sent to another back end.
-    Repeatable,
+    Retryable,
     /// It is final.
-    Final,
+    NotRetryable,
 }
 
 /// What outcomes say of one back end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Suspicion {
+pub struct OutlierDetector {
     score: f64,
     /// Until when a suspect is passed by.
     until: Time,
@@ -54,7 +54,7 @@
     failures: u32,
 }
 
-impl Suspicion {
+impl OutlierDetector {
     /// An attempt ended; `usual_share` is the failure share of the pool.
     pub fn on_outcome(&mut self, failed: bool, usual_share: f64, now: Time) {
         let usual = usual_share.clamp(LEAST_USUAL_SHARE, MOST_USUAL_SHARE);
@@ -79,10 +79,10 @@
 
     /// Whether a suspect may get a request again, to see whether it still fails:
     /// first one that may be repeated elsewhere, and after a longer time any.
-    pub fn may_be_tried(&self, now: Time, request: RequestRisk) -> bool {
+    pub fn allows_trial(&self, now: Time, request: Retryability) -> bool {
         let more = match request {
-            RequestRisk::Repeatable => Duration::ZERO,
-            RequestRisk::Final => FINAL_REQUEST_PAUSE,
+            Retryability::Retryable => Duration::ZERO,
+            Retryability::NotRetryable => FINAL_REQUEST_PAUSE,
         };
         now >= self.until + more
     }
--- a/crates/stacktack-core/src/direct/back_ends/slow_start.rs
+++ b/crates/stacktack-core/src/direct/back_ends/slow_start.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct KnownFleet<'a> {
     /// Its own address.
-    pub own: SocketAddr,
+    pub own_address: SocketAddr,
     /// Those of the others.
     pub peers: &'a [SocketAddr],
     /// Whether these are likely to be all.
@@ -57,16 +57,16 @@
 
 impl SlowStart {
     /// The slow start that holds for a back end with these labels.
-    pub fn of<'a>(all: &'a [SlowStart], labels: &Labels) -> Option<&'a SlowStart> {
+    pub fn for_labels<'a>(all: &'a [SlowStart], labels: &Labels) -> Option<&'a SlowStart> {
         all.iter()
             .find(|slow_start| matches_all(&slow_start.back_ends, labels))
     }
 
     /// Requests a second that one router may send to a cold back end.
-    pub fn router_share(&self, fleet: &KnownFleet<'_>, back_end: u64) -> f64 {
+    pub fn router_rate(&self, fleet: &KnownFleet<'_>, back_end: u64) -> f64 {
         let chosen = (self.requests_per_second * ROUTER_SHARE).max(1.0) as usize;
         let rank = |router: &SocketAddr| xxh3_64_with_seed(router.to_string().as_bytes(), back_end);
-        let own_rank = rank(&fleet.own);
+        let own_rank = rank(&fleet.own_address);
         if !fleet.is_complete {
             let before = own_rank as f64 / u64::MAX as f64 * LARGEST_FLEET;
             let is_chosen = before < chosen as f64;
@@ -92,7 +92,7 @@
 
 /// What one router may send to one cold back end.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdGate {
+pub struct SlowStartLimiter {
     until: Time,
     /// Requests a second.
     rate: f64,
@@ -100,10 +100,10 @@
     refilled: Time,
 }
 
-impl ColdGate {
+impl SlowStartLimiter {
     /// A gate that lets nothing through before its rate is set.
     pub fn new(until: Time, now: Time) -> Self {
-        ColdGate {
+        SlowStartLimiter {
             until,
             rate: 0.0,
             saved: MOST_SAVED,
@@ -133,7 +133,7 @@
     }
 
     /// Whether one more request may be sent.
-    pub fn has_room(&self, now: Time) -> bool {
+    pub fn allows_request(&self, now: Time) -> bool {
         self.is_over(now) || (self.rate > 0.0 && self.saved_at(now) >= MOST_SAVED)
     }
 
--- a/crates/stacktack-core/src/direct/back_ends/work_time.rs
+++ b/crates/stacktack-core/src/direct/back_ends/work_time.rs
@@ -10,17 +10,19 @@
 
 /// How long work takes, as a multiple of what is usual.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WorkTime {
+pub struct WorkTimeFactor {
     hundredths: u32,
 }
 
-impl WorkTime {
+impl WorkTimeFactor {
     /// From hundredths of what is usual; `None` for what no machine can mean.
-    pub fn of_hundredths(value: f64) -> Option<Self> {
+    pub fn from_hundredths(value: f64) -> Option<Self> {
         let rounded = value.round();
-        (1.0..=LONGEST).contains(&rounded).then_some(WorkTime {
-            hundredths: rounded as u32,
-        })
+        (1.0..=LONGEST)
+            .contains(&rounded)
+            .then_some(WorkTimeFactor {
+                hundredths: rounded as u32,
+            })
     }
 
     /// Multiple of what is usual: 2 where work takes twice as long.
--- a/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
+++ b/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
@@ -29,12 +29,12 @@
 
 /// News of drains from the operator's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ZoneDrainNews {
+pub struct ZoneDrainUpdate {
     /// What was asked for or taken back.
     pub changes: Vec<ZoneDrain>,
     /// Revision as of which `changes` holds every zone that is drained; `None` where it
     /// holds changes only.
-    pub whole_as_of: Option<u64>,
+    pub snapshot_revision: Option<u64>,
 }
 
 /// What is known of every zone.
@@ -59,13 +59,13 @@
     }
 
     /// Number of zones that are drained.
-    pub fn drained(&self) -> usize {
+    pub fn drained_count(&self) -> usize {
         self.0.values().filter(|register| register.drained).count()
     }
 
     /// Takes news of one zone. Returns whether the zone is drained from now on, or no
     /// longer.
-    pub fn take(&mut self, news: &ZoneDrain) -> bool {
+    pub fn merge(&mut self, news: &ZoneDrain) -> bool {
         let known = self.0.get(&news.zone);
         if known.is_some_and(|known| known.revision >= news.revision) {
             return false;
@@ -82,8 +82,8 @@
 
     /// Drains that have ended, where news tells all of them as of a revision: zones that
     /// are not among them.
-    pub fn ended(&self, news: &ZoneDrainNews) -> Vec<ZoneDrain> {
-        let Some(revision) = news.whole_as_of else {
+    pub fn ended_drains(&self, news: &ZoneDrainUpdate) -> Vec<ZoneDrain> {
+        let Some(revision) = news.snapshot_revision else {
             return Vec::new();
         };
         let listed = |zone: &str| news.changes.iter().any(|change| change.zone == zone);
@@ -101,7 +101,7 @@
     }
 
     /// All that is known, to tell other routers.
-    pub fn told(&self) -> Vec<ZoneDrain> {
+    pub fn gossip(&self) -> Vec<ZoneDrain> {
         let all = self.0.iter();
         all.map(|(zone, register)| ZoneDrain {
             zone: zone.clone(),
--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::direct::back_ends::back_end::BackEnd;
-use crate::direct::back_ends::standing::Standing;
+use crate::direct::back_ends::health::Health;
 
 /// What is known of one candidate at the time of the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     /// Whether it stands in the router's zone.
     pub same_zone: bool,
     /// What the router holds of it.
-    pub standing: Standing,
+    pub standing: Health,
     /// Whether it may get requests; else it only counts in the mean.
     pub open: bool,
 }
@@ -185,7 +185,7 @@
 /// the place of the first of these. `None` when no candidate is within the bound.
 fn place_in_order(
     order: &[(u64, &DirectCandidate)],
-    best: Standing,
+    best: Health,
     bound: f64,
     full_places: usize,
 ) -> Option<usize> {
@@ -284,22 +284,22 @@
     (count > 0).then(|| sum / f64::from(count))
 }
 
-fn best_standing<'a>(candidates: impl Iterator<Item = &'a DirectCandidate>) -> Standing {
+fn best_standing<'a>(candidates: impl Iterator<Item = &'a DirectCandidate>) -> Health {
     candidates
         .map(|candidate| candidate.standing)
         .min()
-        .unwrap_or(Standing::Good)
+        .unwrap_or(Health::Good)
 }
 
 /// Place of the least loaded candidate with room among [`SPILL_PLACES`] from a rank on.
-fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Standing) -> usize {
+fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Health) -> usize {
     let near = order.iter().enumerate().skip(rank).take(SPILL_PLACES);
     near.filter(|(_, (_, candidate))| candidate.standing == best && candidate.has_room())
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map_or(rank, |(rank, _)| rank)
 }
 
-fn least_loaded_rank(order: &[(u64, &DirectCandidate)], best: Standing) -> Option<usize> {
+fn least_loaded_rank(order: &[(u64, &DirectCandidate)], best: Health) -> Option<usize> {
     order
         .iter()
         .enumerate()
--- a/crates/stacktack-core/src/direct/quarantine/broken_runs.rs
+++ b/crates/stacktack-core/src/direct/quarantine/broken_runs.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::direct::back_ends::directory::LifeId;
+use crate::direct::back_ends::directory::InstanceId;
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::time::Time;
 
@@ -34,14 +34,14 @@
 /// Broken runs by the life of a back end.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
-    waiting: HashMap<LifeId, Vec<BrokenRun>>,
+    waiting: HashMap<InstanceId, Vec<BrokenRun>>,
     /// Lives that ended, and when that showed.
-    ended: HashMap<LifeId, Time>,
+    ended: HashMap<InstanceId, Time>,
 }
 
 impl BrokenRuns {
     /// A run broke off.
-    pub fn note(&mut self, life: LifeId, run: BrokenRun) {
+    pub fn note(&mut self, life: InstanceId, run: BrokenRun) {
         let runs = self.waiting.entry(life).or_default();
         if runs.len() < MOST_PER_BACK_END {
             runs.push(run);
@@ -49,7 +49,7 @@
     }
 
     /// It showed that a life ended. Returns the runs that broke off there.
-    pub fn on_ended(&mut self, life: LifeId, now: Time) -> Vec<BrokenRun> {
+    pub fn on_ended(&mut self, life: InstanceId, now: Time) -> Vec<BrokenRun> {
         self.ended.insert(life, now);
         let runs = self.waiting.remove(&life).unwrap_or_default();
         let fresh = |run: &BrokenRun| now.since(run.at) < KEEP;
@@ -57,12 +57,12 @@
     }
 
     /// Whether a life is known to have ended.
-    pub fn has_ended(&self, life: LifeId) -> bool {
+    pub fn has_ended(&self, life: InstanceId) -> bool {
         self.ended.contains_key(&life)
     }
 
     /// Whether runs broke off there that nothing explains yet.
-    pub fn is_waiting(&self, life: LifeId) -> bool {
+    pub fn is_waiting(&self, life: InstanceId) -> bool {
         self.waiting.contains_key(&life)
     }
 
--- a/crates/stacktack-core/src/direct/quarantine/mod.rs
+++ b/crates/stacktack-core/src/direct/quarantine/mod.rs
@@ -24,7 +24,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use crate::direct::back_ends::directory::LifeId;
+use crate::direct::back_ends::directory::InstanceId;
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::direct::quarantine::record::{Record, RecordNews, Treatment};
 use crate::time::Time;
@@ -124,7 +124,7 @@
     pub fn on_death(
         &mut self,
         digest: RequestDigest,
-        life: LifeId,
+        life: InstanceId,
         on_probation: bool,
         now: Time,
     ) -> Option<TreatmentChange> {
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::direct::back_ends::standing::Standing;
+use crate::direct::back_ends::health::Health;
 use crate::direct::choice::select::DirectCandidate;
 use crate::direct::quarantine::digest::RequestDigest;
 
@@ -27,7 +27,7 @@
     order.sort_unstable_by_key(|candidate| std::cmp::Reverse(score(candidate)));
     let named = order.into_iter().take(PROBATION_BACK_ENDS);
     let mut able = named.filter(|candidate| {
-        candidate.open && candidate.standing != Standing::Ejected && is_free(candidate)
+        candidate.open && candidate.standing != Health::Ejected && is_free(candidate)
     });
     able.next()
 }
--- a/crates/stacktack-core/src/direct/quarantine/record.rs
+++ b/crates/stacktack-core/src/direct/quarantine/record.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::direct::back_ends::directory::LifeId;
+use crate::direct::back_ends::directory::InstanceId;
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::time::Time;
 
@@ -66,9 +66,9 @@
     /// Times that it was cleared.
     pub epoch: u32,
     /// Lives that ended under it since; none once it is set aside.
-    pub deaths: Vec<LifeId>,
+    pub deaths: Vec<InstanceId>,
     /// Those of them that ended while it was on probation.
-    pub probation_deaths: Vec<LifeId>,
+    pub probation_deaths: Vec<InstanceId>,
     /// Whether it is set aside.
     pub set_aside: bool,
     /// Whether the store holds that.
@@ -79,8 +79,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
     pub epoch: u32,
-    deaths: Vec<LifeId>,
-    probation_deaths: Vec<LifeId>,
+    deaths: Vec<InstanceId>,
+    probation_deaths: Vec<InstanceId>,
     set_aside: bool,
     /// Whether it was a suspect or set aside before its epoch began: others have to hear of that.
     was_suspect: bool,
@@ -127,7 +127,7 @@
     }
 
     /// A life ended under it.
-    pub fn add_death(&mut self, life: LifeId, on_probation: bool, now: Time) {
+    pub fn add_death(&mut self, life: InstanceId, on_probation: bool, now: Time) {
         let mut news = insert(&mut self.deaths, life);
         if on_probation {
             news |= insert(&mut self.probation_deaths, life);
@@ -199,7 +199,7 @@
     }
 
     pub fn news(&self, digest: RequestDigest) -> RecordNews {
-        let lives = |lives: &[LifeId]| match self.set_aside {
+        let lives = |lives: &[InstanceId]| match self.set_aside {
             true => Vec::new(),
             false => lives.to_vec(),
         };
@@ -224,7 +224,7 @@
     }
 }
 
-fn insert(lives: &mut Vec<LifeId>, life: LifeId) -> bool {
+fn insert(lives: &mut Vec<InstanceId>, life: InstanceId) -> bool {
     if lives.contains(&life) || lives.len() >= MOST_LIVES {
         return false;
     }
--- a/crates/stacktack-core/src/direct/sources/patience.rs
+++ b/crates/stacktack-core/src/direct/sources/adaptive_timeout.rs
@@ -26,11 +26,11 @@
 /// answers 1.36 s late and bounds of 0.5 and 1.2 s, 22 routers gave up 125 reads as
 /// unanswered and counted the store as lost 23 times for want of an answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     lateness: Duration,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// An answer came so long after it was due.
     pub fn on_answer(&mut self, lateness: Duration) {
         self.lateness = lateness.max(self.lateness.mul_f64(KEPT));
@@ -42,7 +42,7 @@
     }
 
     /// Lateness after which the source counts as silent.
-    pub fn bound(&self, at_start: bool) -> Duration {
+    pub fn timeout(&self, at_start: bool) -> Duration {
         let least = if at_start { LEAST_AT_START } else { LEAST };
         self.lateness.mul_f64(MARGIN).clamp(least, MOST)
     }
--- a/crates/stacktack-core/src/direct/sources/departure.rs
+++ b/crates/stacktack-core/src/direct/sources/directory_source.rs
@@ -11,11 +11,11 @@
 use serde::Deserialize;
 
 use crate::chart::{Chart, ChartError};
-use crate::direct::back_ends::directory::Departure;
+use crate::direct::back_ends::directory::RemovedEntry;
 use crate::time::Time;
 
 /// Time after the store's return in which entries renew themselves.
-pub const RENEWAL: Duration = Duration::from_millis(2200);
+pub const RENEWAL_PERIOD: Duration = Duration::from_millis(2200);
 
 /// The chart of [`DirectorySource`], from `charts/`.
 pub const CHART: &str = include_str!("../../../../../charts/directory_source.toml");
@@ -43,7 +43,7 @@
     Answer,
     /// A call failed.
     Failure,
-    /// [`RENEWAL`] passed since its return.
+    /// [`RENEWAL_PERIOD`] passed since its return.
     RenewalOver,
 }
 
@@ -96,7 +96,7 @@
 
     /// Whether entries of living back ends are all there.
     pub fn is_steady(&mut self, now: Time) -> bool {
-        if now.since(self.changed) >= RENEWAL {
+        if now.since(self.changed) >= RENEWAL_PERIOD {
             self.step(SourceEvent::RenewalOver, now);
         }
         self.state == SourceState::Steady
@@ -116,23 +116,27 @@
 
 /// What speaks for an entry that vanished being gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Evidence {
+pub enum RemovalEvidence {
     /// Too little: it may only have been unable to renew itself.
     Insufficient,
     /// The store has answered steadily: whatever lives has renewed its entry.
-    Steady,
+    StoreSteady,
     /// A peer has decided so.
-    Decided,
+    PeerDecided,
 }
 
 /// Entries that vanished and are not taken as gone yet: id to revision.
 #[derive(Clone, Debug, Default)]
-pub struct HeldDepartures(BTreeMap<String, u64>);
+pub struct PendingRemovals(BTreeMap<String, u64>);
 
-impl HeldDepartures {
+impl PendingRemovals {
     /// Entries vanished. Returns those that are gone for good.
-    pub fn vanish(&mut self, departures: Vec<Departure>, evidence: Evidence) -> Vec<Departure> {
-        if evidence == Evidence::Decided {
+    pub fn on_missing(
+        &mut self,
+        departures: Vec<RemovedEntry>,
+        evidence: RemovalEvidence,
+    ) -> Vec<RemovedEntry> {
+        if evidence == RemovalEvidence::PeerDecided {
             for departure in &departures {
                 self.0.remove(&departure.id);
             }
@@ -141,15 +145,15 @@
         for departure in departures {
             self.0.insert(departure.id, departure.revision);
         }
-        if evidence == Evidence::Steady {
-            self.release()
+        if evidence == RemovalEvidence::StoreSteady {
+            self.take_all()
         } else {
             Vec::new()
         }
     }
 
     /// An entry is there as of a revision.
-    pub fn renew(&mut self, id: &str, revision: u64) {
+    pub fn on_renewed(&mut self, id: &str, revision: u64) {
         if self.0.get(id).is_some_and(|left| *left < revision) {
             self.0.remove(id);
         }
@@ -167,16 +171,16 @@
 
     /// The newest revision up to which all departures were decided, given the
     /// newest one that was heard: peers may rely on what is known up to there.
-    pub fn decided(&self, heard: u64) -> u64 {
+    pub fn decided_revision(&self, heard: u64) -> u64 {
         let first_held = self.0.values().min();
         first_held.map_or(heard, |first| heard.min(first.saturating_sub(1)))
     }
 
     /// Living back ends had time to renew their entries: the held ones are gone.
-    pub fn release(&mut self) -> Vec<Departure> {
+    pub fn take_all(&mut self) -> Vec<RemovedEntry> {
         std::mem::take(&mut self.0)
             .into_iter()
-            .map(|(id, revision)| Departure { id, revision })
+            .map(|(id, revision)| RemovedEntry { id, revision })
             .collect()
     }
 }
--- a/crates/stacktack-core/src/direct/sources/freshness.rs
+++ b/crates/stacktack-core/src/direct/sources/freshness.rs
@@ -20,7 +20,7 @@
     /// An answer, made at `told_at` on the clock of the source, showed that at a time of ours it held nothing that
     /// is not known. Returns by how much newer that answer is than the last one; `None` if it is not. A
     /// step of more than `usual` is a gap: nobody got an answer for so long.
-    pub fn note(
+    pub fn record_answer(
         &mut self,
         as_of: Time,
         told_at: u64,
@@ -42,7 +42,7 @@
     }
 
     /// When the last answer was made, in milliseconds on the clock of the source.
-    pub fn told_at(&self) -> u64 {
+    pub fn answered_at_ms(&self) -> u64 {
         self.told_at
     }
 
--- a/crates/stacktack-core/src/direct/sources/news_budget.rs
+++ b/crates/stacktack-core/src/direct/sources/staleness_budget.rs
@@ -52,44 +52,44 @@
 
 /// Shares of the time in which a change has to be acted upon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsBudget {
+pub struct StalenessBudget {
     bound: Duration,
 }
 
-impl NewsBudget {
+impl StalenessBudget {
     /// For changes that have to be acted upon within this time.
     pub fn new(bound: Duration) -> Self {
-        NewsBudget { bound }
+        StalenessBudget { bound }
     }
 
     /// Age from which what is known is not relied on.
-    pub fn oldest(&self) -> Duration {
+    pub fn max_age(&self) -> Duration {
         self.bound.mul_f64(OLDEST)
     }
 
     /// Time without any answer from which the source itself was away: looks that are not answered, and
     /// one that is, take less.
-    pub fn gap(&self) -> Duration {
+    pub fn gap_threshold(&self) -> Duration {
         self.bound
     }
 
     /// Whether knowledge of an age shows that some router gets answers: the one that watches is not missed.
     pub fn is_watched(&self, age: Duration) -> bool {
-        age <= self.watch() + self.spread()
+        age <= self.watch_period() + self.propagation_time()
     }
 
     /// Time for the answer to a look.
-    pub fn answer(&self) -> Duration {
+    pub fn answer_timeout(&self) -> Duration {
         self.bound.mul_f64(ANSWER).max(LEAST_BETWEEN_LOOKS)
     }
 
     /// Longest time for which the router that watches waits for news in one call, and gathers news.
-    pub fn watch(&self) -> Duration {
+    pub fn watch_period(&self) -> Duration {
         self.bound.mul_f64(WATCH)
     }
 
     /// Longest time in which an answer reaches all routers, as a rule.
-    pub fn spread(&self) -> Duration {
+    pub fn propagation_time(&self) -> Duration {
         self.bound.mul_f64(SPREAD)
     }
 
@@ -97,15 +97,15 @@
     /// even in 0..1. What it gathered before counts: it answers to the others by the end of the
     /// wait. The same news ends the calls of all that watch: with equal waits they would go on in step,
     /// and none would see that another one watches.
-    pub fn wait(&self, age: Duration, draw: f64) -> Duration {
-        let longest = self.watch().mul_f64(1.0 - WAIT_SPREAD * draw);
+    pub fn watch_wait(&self, age: Duration, draw: f64) -> Duration {
+        let longest = self.watch_period().mul_f64(1.0 - WAIT_SPREAD * draw);
         longest.saturating_sub(age)
     }
 
     /// Time without news after which one of so many routers takes its turn to watch; `draw` is
     /// even in 0..1. Each router draws for itself. The first of all draws has the same distribution
     /// whatever the number of routers, so that one or two begin, and nobody has to be chosen.
-    pub fn turn(&self, routers: usize, draw: f64) -> Duration {
+    pub fn takeover_delay(&self, routers: usize, draw: f64) -> Duration {
         let exponential = -(1.0 - draw).ln();
         let doublings = (1.0 + exponential * routers as f64).log2();
         self.bound.mul_f64(TURN + TURN_SPREAD * doublings)
@@ -113,27 +113,27 @@
 
     /// Wait for news of a router that nobody else tells anything, when what is known has an age:
     /// its end comes before a look is due.
-    pub fn wait_alone(&self, age: Duration) -> Duration {
-        self.oldest().saturating_sub(age).mul_f64(WAIT_ALONE)
+    pub fn wait_without_peers(&self, age: Duration) -> Duration {
+        self.max_age().saturating_sub(age).mul_f64(WAIT_ALONE)
     }
 
     /// Time until the source is to be looked at, when what is known has an age, the last look
     /// was so long ago, and answers come so late. Looks at a slow source do not pile up: each
     /// would carry the same document, and the link with them.
-    pub fn until_look(
+    pub fn until_poll(
         &self,
         age: Duration,
         since_look: Option<Duration>,
         lateness: Duration,
     ) -> Duration {
-        let until_old = self.oldest().saturating_sub(age);
-        until_old.max(self.between_looks(since_look, lateness))
+        let until_old = self.max_age().saturating_sub(age);
+        until_old.max(self.until_poll_allowed(since_look, lateness))
     }
 
     /// Time until another look may be made, when the last one was so long ago and answers come so
     /// late.
-    pub fn between_looks(&self, since_look: Option<Duration>, lateness: Duration) -> Duration {
-        let between = self.answer().max(lateness * 2);
+    pub fn until_poll_allowed(&self, since_look: Option<Duration>, lateness: Duration) -> Duration {
+        let between = self.answer_timeout().max(lateness * 2);
         since_look.map_or(Duration::ZERO, |since| between.saturating_sub(since))
     }
 }
--- a/crates/stacktack-core/src/direct/sources/store_pace.rs
+++ b/crates/stacktack-core/src/direct/sources/update_batching.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::news_budget::NewsBudget;
+use super::staleness_budget::StalenessBudget;
 
 /// Time after news in which more is left to gather, for each router that shares the
 /// directory, and at least.
@@ -14,8 +14,8 @@
 
 /// Time after news in which more is left to gather when so many routers share the
 /// directory.
-pub fn gather(routers: usize, budget: &NewsBudget) -> Duration {
+pub fn batch_window(routers: usize, budget: &StalenessBudget) -> Duration {
     let routers = u32::try_from(routers).unwrap_or(u32::MAX);
     let wanted = GATHER_PER_ROUTER.saturating_mul(routers);
-    wanted.max(SHORTEST_GATHER).min(budget.watch())
+    wanted.max(SHORTEST_GATHER).min(budget.watch_period())
 }
--- a/crates/stacktack-core/src/direct/sources/watch.rs
+++ b/crates/stacktack-core/src/direct/sources/watch.rs
@@ -3,7 +3,7 @@
 //! The router that got the last answer watches the source: its next call waits there for news, and
 //! what it learns is pushed to all. The others ask nothing while they learn in time. Once nothing newer
 //! was learned for longer than the watching router may wait, each draws its turn
-//! ([`NewsBudget::turn`]), and whoever comes first goes on. Nobody is chosen: a router that watches and
+//! ([`StalenessBudget::takeover_delay`]), and whoever comes first goes on. Nobody is chosen: a router that watches and
 //! ends, stands still, is cut off from peers or turned away by the source is missed by all at once, and
 //! two that watch do no harm.
 //!
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::direct::sources::freshness::Freshness;
-use crate::direct::sources::news_budget::NewsBudget;
+use crate::direct::sources::staleness_budget::StalenessBudget;
 use crate::time::Time;
 
 /// Chance with which a router goes on watching though another one watches too.
@@ -20,19 +20,19 @@
 
 /// Why a source is to be asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LookCause {
+pub enum PollCause {
     /// What is known is too old to be relied on.
-    Old,
+    Stale,
     /// Nobody else watches, and this router's turn came first.
-    Turn,
+    Takeover,
 }
 
-impl LookCause {
+impl PollCause {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            LookCause::Old => "old",
-            LookCause::Turn => "turn",
+            PollCause::Stale => "old",
+            PollCause::Takeover => "turn",
         }
     }
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WatchInputs {
     /// Shares of the time in which news has to be acted upon.
-    pub budget: NewsBudget,
+    pub budget: StalenessBudget,
     /// How new what is known is.
     pub freshness: Freshness,
     /// Routers that are known, this one among them.
@@ -54,7 +54,7 @@
 
 /// When one router asks one source.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct SourceWatch {
     /// When the last call was made, or decided on, that did not wait for news.
     looked: Option<Time>,
     /// Whether a call was made.
@@ -65,10 +65,10 @@
     draw: f64,
 }
 
-impl Watch {
+impl SourceWatch {
     /// No call yet.
     pub fn new(draw: f64) -> Self {
-        Watch {
+        SourceWatch {
             looked: None,
             has_asked: false,
             own_answer: 0,
@@ -83,19 +83,19 @@
 
     /// Time until the source is to be looked at if nothing newer is learned before, and why;
     /// `None` while nothing is known.
-    pub fn until_due(&self, inputs: &WatchInputs, now: Time) -> Option<(Duration, LookCause)> {
+    pub fn until_due(&self, inputs: &WatchInputs, now: Time) -> Option<(Duration, PollCause)> {
         let budget = &inputs.budget;
         let age = inputs.freshness.age(now)?;
         let since_look = self.looked.map(|looked| now.since(looked));
-        let until_old = budget.until_look(age, since_look, inputs.lateness);
+        let until_old = budget.until_poll(age, since_look, inputs.lateness);
         if inputs.watches {
-            return Some((until_old, LookCause::Old));
+            return Some((until_old, PollCause::Stale));
         }
         let until_turn = self.until_turn(inputs, since_look, now);
         if until_turn < until_old {
-            Some((until_turn, LookCause::Turn))
+            Some((until_turn, PollCause::Takeover))
         } else {
-            Some((until_old, LookCause::Old))
+            Some((until_old, PollCause::Stale))
         }
     }
 
@@ -105,16 +105,20 @@
         since_look: Option<Duration>,
         now: Time,
     ) -> Duration {
-        let turn = inputs.budget.turn(inputs.routers, self.draw) + inputs.lateness;
+        let turn = inputs.budget.takeover_delay(inputs.routers, self.draw) + inputs.lateness;
         let since_learned = inputs.freshness.since_learned(now).unwrap_or_default();
         let age = inputs.freshness.age(now).unwrap_or_default();
-        let quiet = since_learned.max(age.saturating_sub(inputs.budget.spread()));
+        let quiet = since_learned.max(age.saturating_sub(inputs.budget.propagation_time()));
         let until_turn = turn.saturating_sub(quiet);
-        until_turn.max(inputs.budget.between_looks(since_look, inputs.lateness))
+        until_turn.max(
+            inputs
+                .budget
+                .until_poll_allowed(since_look, inputs.lateness),
+        )
     }
 
     /// A look is decided on; `draw` is for the next turn.
-    pub fn on_look(&mut self, draw: f64, now: Time) {
+    pub fn on_poll(&mut self, draw: f64, now: Time) {
         self.looked = Some(now);
         self.draw = draw;
     }
@@ -140,7 +144,7 @@
         has_peers: bool,
         draw: f64,
     ) -> bool {
-        let goes_on = self.goes_on(freshness, draw);
+        let goes_on = self.keeps_watching(freshness, draw);
         self.own_answer = told_at;
         let starts = freshness.as_of().is_none();
         goes_on && !(starts && has_peers)
@@ -148,8 +152,8 @@
 
     /// Whether this router goes on, after an answer and after it has gathered news. Where another one got an
     /// answer after this router's last one, both watch; of two one is enough.
-    pub fn goes_on(&self, freshness: &Freshness, draw: f64) -> bool {
-        let another_watches = freshness.told_at() > self.own_answer;
+    pub fn keeps_watching(&self, freshness: &Freshness, draw: f64) -> bool {
+        let another_watches = freshness.answered_at_ms() > self.own_answer;
         !another_watches || draw < GOES_ON
     }
 }
--- a/crates/stacktack-core/tests/admission/world.rs
+++ b/crates/stacktack-core/tests/admission/world.rs
@@ -12,8 +12,8 @@
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
 use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission, PoolAnswer};
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::back_ends::load::BackEndLoad;
-use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
 use stacktack_core::time::Time;
 
@@ -285,9 +285,9 @@
         let reports: Vec<LoadReport> = loads
             .iter()
             .map(|load| LoadReport {
-                load: load.believed(now),
+                load: load.estimate(now),
                 slots,
-                age: load.news_age(now),
+                age: load.estimate_age(now),
             })
             .collect();
         let pool = PoolLoad::of(&reports).filter(|_| self.plan.admission);
@@ -304,7 +304,7 @@
                 f64::INFINITY
             },
             same_zone: true,
-            standing: Standing::Good,
+            standing: Health::Good,
             open: true,
         };
         let candidates: Vec<DirectCandidate> = reports.iter().enumerate().map(candidate).collect();
@@ -371,7 +371,7 @@
             let waited = now.since(next.at);
             let held = self.held(back_end) + 1;
             let router = &mut self.routers[next.router];
-            router.loads[back_end].on_told(held, now);
+            router.loads[back_end].on_report(held, now);
             let slowness = self.slowness(back_end);
             let first = Duration::from_secs_f64(HOLD_SECONDS * (slowness - 1.0));
             let in_time = waited + first <= OBJECTIVE;
@@ -438,8 +438,8 @@
         for router in self.routers.iter_mut().skip(self.plan.alone) {
             for (load, held) in router.loads.iter_mut().zip(loads) {
                 let elsewhere = f64::from(*held) - f64::from(load.in_flight);
-                load.in_flight_elsewhere = elsewhere.max(0.0);
-                load.elsewhere_is_fresh = true;
+                load.in_flight_from_peers = elsewhere.max(0.0);
+                load.peer_counts_are_fresh = true;
             }
         }
     }
@@ -460,7 +460,7 @@
                     continue;
                 };
                 let told_at = now - TICK * ticks as u32;
-                router.loads[back_end].on_told(loads[back_end], told_at);
+                router.loads[back_end].on_report(loads[back_end], told_at);
             }
         }
     }
--- a/crates/stacktack-core/tests/back_end_beliefs.rs
+++ b/crates/stacktack-core/tests/back_end_beliefs.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use stacktack_core::configuration::selector::{Labels, Requirement};
-use stacktack_core::direct::back_ends::directory::{BackEndEntry, Departure, DirectoryChange};
-use stacktack_core::direct::back_ends::standing::Standing;
-use stacktack_core::direct::back_ends::suspicion::RequestRisk;
+use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange, RemovedEntry};
+use stacktack_core::direct::back_ends::health::Health;
+use stacktack_core::direct::back_ends::outlier_detector::Retryability;
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::direct::choice::select::{
     likely_holder, select_by_affinity, DirectCandidate, SelectBounds,
@@ -39,11 +39,11 @@
     all
 }
 
-fn standing(all: &BackEnds, id: &str, now: Time) -> Option<Standing> {
-    standing_for(all, id, now, RequestRisk::Final)
+fn standing(all: &BackEnds, id: &str, now: Time) -> Option<Health> {
+    standing_for(all, id, now, Retryability::NotRetryable)
 }
 
-fn standing_for(all: &BackEnds, id: &str, now: Time, request: RequestRisk) -> Option<Standing> {
+fn standing_for(all: &BackEnds, id: &str, now: Time, request: Retryability) -> Option<Health> {
     all.clone()
         .pool(now, request, |_| true)
         .into_iter()
@@ -57,23 +57,23 @@
     let member = all.get_mut("a").expect("known");
     assert!(!member.on_unreachable(at(0)));
     assert!(member.on_unreachable(at(10)));
-    assert_eq!(standing(&all, "a", at(20)), Some(Standing::Ejected));
-    assert_eq!(standing(&all, "a", at(600)), Some(Standing::Good));
+    assert_eq!(standing(&all, "a", at(20)), Some(Health::Ejected));
+    assert_eq!(standing(&all, "a", at(600)), Some(Health::Good));
     let member = all.get_mut("a").expect("known");
     assert!(member.on_unreachable(at(600)), "one more failure is enough");
-    assert_eq!(standing(&all, "a", at(1500)), Some(Standing::Ejected));
+    assert_eq!(standing(&all, "a", at(1500)), Some(Health::Ejected));
     all.get_mut("a").expect("known").on_bytes(at(1500));
-    assert_eq!(standing(&all, "a", at(1500)), Some(Standing::Good));
+    assert_eq!(standing(&all, "a", at(1500)), Some(Health::Good));
 }
 
 #[test]
 fn silence_with_requests_in_flight_is_noticed() {
     let mut all = back_ends(&["a", "b"]);
     all.get_mut("a").expect("known").on_send(at(100));
-    assert_eq!(standing(&all, "a", at(500)), Some(Standing::Good));
-    assert_eq!(standing(&all, "a", at(600)), Some(Standing::Ejected));
+    assert_eq!(standing(&all, "a", at(500)), Some(Health::Good));
+    assert_eq!(standing(&all, "a", at(600)), Some(Health::Ejected));
     all.get_mut("a").expect("known").on_bytes(at(600));
-    assert_eq!(standing(&all, "a", at(700)), Some(Standing::Good));
+    assert_eq!(standing(&all, "a", at(700)), Some(Health::Good));
 }
 
 #[test]
@@ -87,12 +87,12 @@
             member.load.on_end(at(0));
         }
     }
-    assert_eq!(standing(&all, "a", at(50)), Some(Standing::Degraded));
-    assert_eq!(standing(&all, "b", at(50)), Some(Standing::Good));
+    assert_eq!(standing(&all, "a", at(50)), Some(Health::Degraded));
+    assert_eq!(standing(&all, "b", at(50)), Some(Health::Good));
 }
 
 /// Standings of a back end after each of thirty answers that took so many milliseconds.
-fn standings_beside(all: &mut BackEnds, id: &str, took: u64) -> Vec<Option<Standing>> {
+fn standings_beside(all: &mut BackEnds, id: &str, took: u64) -> Vec<Option<Health>> {
     let mut standings = Vec::new();
     for now in 0..30 {
         let member = all.get_mut(id).expect("known");
@@ -109,16 +109,16 @@
     let mut usual = back_ends(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
         let standings = standings_beside(&mut usual, id, 50);
-        assert!(standings.iter().all(|one| *one == Some(Standing::Good)));
+        assert!(standings.iter().all(|one| *one == Some(Health::Good)));
     }
     let twice = standings_beside(&mut usual.clone(), "a", 100);
-    assert!(twice.iter().all(|one| *one == Some(Standing::Good)));
+    assert!(twice.iter().all(|one| *one == Some(Health::Good)));
     let slow = standings_beside(&mut usual, "a", 200);
-    assert_eq!(slow[0], Some(Standing::Good), "one slow answer");
-    assert_eq!(slow[29], Some(Standing::Degraded));
-    assert_eq!(standing(&usual, "b", at(30)), Some(Standing::Good));
-    assert_eq!(standing(&usual, "a", at(2900)), Some(Standing::Degraded));
-    assert_eq!(standing(&usual, "a", at(3100)), Some(Standing::Good));
+    assert_eq!(slow[0], Some(Health::Good), "one slow answer");
+    assert_eq!(slow[29], Some(Health::Degraded));
+    assert_eq!(standing(&usual, "b", at(30)), Some(Health::Good));
+    assert_eq!(standing(&usual, "a", at(2900)), Some(Health::Degraded));
+    assert_eq!(standing(&usual, "a", at(3100)), Some(Health::Good));
 }
 
 #[test]
@@ -130,10 +130,10 @@
     all.upsert(leaving, at(1), &mut change);
     assert_eq!(change.leaving, ["a"]);
     assert_eq!(standing(&all, "a", at(2)), None);
-    assert_eq!(all.working(), 1);
+    assert_eq!(all.count_accepting_work(), 1);
     let holder = likely_holder(all.iter(), 5, "b").map(|member| member.entry.id.as_str());
     assert_eq!(holder, Some("a"));
-    let left = Departure {
+    let left = RemovedEntry {
         id: "a".to_owned(),
         revision: 9,
     };
@@ -160,7 +160,7 @@
                     load: 0.0,
                     limit: f64::INFINITY,
                     same_zone: true,
-                    standing: Standing::Good,
+                    standing: Health::Good,
                     open: true,
                 })
                 .collect();
@@ -186,7 +186,7 @@
         not_in: None,
         exists: None,
     };
-    let pool = all.pool(at(0), RequestRisk::Final, |entry| {
+    let pool = all.pool(at(0), Retryability::NotRetryable, |entry| {
         wanted.matches(&entry.labels)
     });
     assert!(pool.is_empty());
@@ -197,18 +197,18 @@
     let mut all = back_ends(&["a"]);
     let member = all.get_mut("a").expect("known");
     member.on_send(at(0));
-    member.load.in_flight_elsewhere = 2.0;
-    member.load.elsewhere_is_fresh = true;
+    member.load.in_flight_from_peers = 2.0;
+    member.load.peer_counts_are_fresh = true;
     let near = |left: f64, right: f64| (left - right).abs() < 1e-9;
-    assert!(near(member.load.believed(at(0)), 3.0));
-    member.load.on_told(6, at(10));
-    assert!(near(member.load.believed(at(20)), 6.0));
+    assert!(near(member.load.estimate(at(0)), 3.0));
+    member.load.on_report(6, at(10));
+    assert!(near(member.load.estimate(at(20)), 6.0));
     assert!(
-        near(member.load.believed(at(400)), 3.0),
+        near(member.load.estimate(at(400)), 3.0),
         "told too long ago"
     );
-    member.load.on_told(1, at(500));
-    assert!(near(member.load.believed(at(500)), 3.0));
+    member.load.on_report(1, at(500));
+    assert!(near(member.load.estimate(at(500)), 3.0));
 }
 
 /// In a large fleet the peers' own counts are seconds old, so that they count only
@@ -218,20 +218,20 @@
     let mut all = back_ends(&["a"]);
     let member = all.get_mut("a").expect("known");
     member.on_send(at(0));
-    member.load.in_flight_elsewhere = 2.0;
+    member.load.in_flight_from_peers = 2.0;
     let near = |left: f64, right: f64| (left - right).abs() < 1e-9;
-    assert!(near(member.load.believed(at(0)), 3.0));
-    member.load.on_told(6, at(10));
-    assert!(near(member.load.believed(at(5005)), 6.0));
+    assert!(near(member.load.estimate(at(0)), 3.0));
+    member.load.on_report(6, at(10));
+    assert!(near(member.load.estimate(at(5005)), 6.0));
     assert!(
-        near(member.load.believed(at(5011)), 3.0),
+        near(member.load.estimate(at(5011)), 3.0),
         "told too long ago"
     );
-    member.load.on_told(1, at(6000));
-    assert!(near(member.load.believed(at(6000)), 1.0));
-    member.load.on_told(9, at(5900));
+    member.load.on_report(1, at(6000));
+    assert!(near(member.load.estimate(at(6000)), 1.0));
+    member.load.on_report(9, at(5900));
     assert!(
-        near(member.load.believed(at(6000)), 1.0),
+        near(member.load.estimate(at(6000)), 1.0),
         "older than what is known"
     );
 }
@@ -247,8 +247,8 @@
     for time in [310, 320, 330] {
         member.on_send(at(time));
     }
-    member.load.on_told(10, at(300));
-    assert!((member.load.believed(at(400)) - 13.0).abs() < 1e-9);
+    member.load.on_report(10, at(300));
+    assert!((member.load.estimate(at(400)) - 13.0).abs() < 1e-9);
     member.load.on_end(at(410));
-    assert!((member.load.believed(at(420)) - 12.0).abs() < 1e-9);
+    assert!((member.load.estimate(at(420)) - 12.0).abs() < 1e-9);
 }
--- a/crates/stacktack-core/tests/charts.rs
+++ b/crates/stacktack-core/tests/charts.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use stacktack_core::chart::{Chart, ChartError};
 use stacktack_core::direct::rollout::progress;
-use stacktack_core::direct::sources::departure;
+use stacktack_core::direct::sources::directory_source;
 use stacktack_core::{dispatch, gate};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
@@ -28,7 +28,7 @@
 fn product_charts_are_complete() {
     gate::attempt::AttemptChart::parse(gate::attempt::CHART).expect("gate chart");
     dispatch::request::RequestChart::parse(dispatch::request::CHART).expect("router chart");
-    departure::SourceChart::parse(departure::CHART).expect("directory chart");
+    directory_source::SourceChart::parse(directory_source::CHART).expect("directory chart");
     progress::RolloutChart::parse(progress::CHART).expect("roll-out chart");
 }
 
--- a/crates/stacktack-core/tests/closed_members.rs
+++ b/crates/stacktack-core/tests/closed_members.rs
@@ -8,7 +8,7 @@
 use stacktack_core::direct::admission::pool_load::LoadReport;
 use stacktack_core::direct::back_ends::back_end::BackEnd;
 use stacktack_core::direct::back_ends::directory::BackEndEntry;
-use stacktack_core::direct::back_ends::standing::Standing;
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::choice::select::{
     select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
 };
@@ -25,7 +25,7 @@
             load: load(index),
             limit: 80.0,
             same_zone: true,
-            standing: Standing::Good,
+            standing: Health::Good,
             open: index % nth != 0,
         })
         .collect()
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -8,8 +8,8 @@
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::back_end::BackEnd;
 use stacktack_core::direct::back_ends::directory::BackEndEntry;
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::back_ends::slow_start::SlowStart;
-use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::prompt::{PromptChain, PromptError};
 use stacktack_core::direct::choice::select::{
     is_home, select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
@@ -210,7 +210,7 @@
         load,
         limit: f64::INFINITY,
         same_zone: true,
-        standing: Standing::Good,
+        standing: Health::Good,
         open: true,
     }
 }
@@ -256,11 +256,11 @@
     assert_ne!(spilled.index, home);
     assert_eq!(spilled.home, Some(home));
     candidates[home].load = 1.0;
-    candidates[home].standing = Standing::Ejected;
+    candidates[home].standing = Health::Ejected;
     let avoided = select_by_affinity(&candidates, 5, &bounds).expect("chosen");
     assert_eq!(avoided.index, spilled.index);
     for candidate in &mut candidates {
-        candidate.standing = Standing::Ejected;
+        candidate.standing = Health::Ejected;
     }
     assert!(select_by_affinity(&candidates, 5, &bounds).is_some());
     assert!(select_by_affinity(&[], 5, &bounds).is_none());
--- a/crates/stacktack-core/tests/directory.rs
+++ b/crates/stacktack-core/tests/directory.rs
@@ -6,10 +6,10 @@
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::compact_delta::CompactDelta;
 use stacktack_core::direct::back_ends::directory::{
-    BackEndEntry, Departure, DirectoryChange, DirectoryDelta, LifeId, VanishedLife,
+    BackEndEntry, DirectoryChange, DirectoryDelta, InstanceId, RemovedEntry, VanishedInstance,
 };
 use stacktack_core::direct::back_ends::BackEnds;
-use stacktack_core::direct::sources::departure::{Evidence, HeldDepartures};
+use stacktack_core::direct::sources::directory_source::{PendingRemovals, RemovalEvidence};
 use stacktack_core::time::Time;
 
 fn entry(id: &str, revision: u64) -> BackEndEntry {
@@ -25,8 +25,8 @@
     }
 }
 
-fn departure(id: &str, revision: u64) -> Departure {
-    Departure {
+fn departure(id: &str, revision: u64) -> RemovedEntry {
+    RemovedEntry {
         id: id.to_owned(),
         revision,
     }
@@ -36,7 +36,7 @@
 fn read_whole() -> BackEnds {
     let mut all = BackEnds::default();
     let mut change = DirectoryChange::default();
-    all.on_whole(10);
+    all.on_snapshot(10);
     for (id, revision) in [("a", 3), ("b", 7), ("c", 10)] {
         all.upsert(entry(id, revision), Time(0), &mut change);
     }
@@ -113,17 +113,19 @@
 
 #[test]
 fn what_is_not_decided_is_not_vouched_for() {
-    let mut held = HeldDepartures::default();
-    assert_eq!(held.decided(20), 20);
+    let mut held = PendingRemovals::default();
+    assert_eq!(held.decided_revision(20), 20);
     let departures = vec![departure("a", 15), departure("b", 18)];
-    assert!(held.vanish(departures, Evidence::Insufficient).is_empty());
-    assert_eq!(held.decided(20), 14);
-    held.renew("a", 14);
-    assert_eq!(held.decided(20), 14);
-    held.renew("a", 19);
-    assert_eq!(held.decided(20), 17);
-    assert_eq!(held.release(), [departure("b", 18)]);
-    assert_eq!(held.decided(20), 20);
+    assert!(held
+        .on_missing(departures, RemovalEvidence::Insufficient)
+        .is_empty());
+    assert_eq!(held.decided_revision(20), 14);
+    held.on_renewed("a", 14);
+    assert_eq!(held.decided_revision(20), 14);
+    held.on_renewed("a", 19);
+    assert_eq!(held.decided_revision(20), 17);
+    assert_eq!(held.take_all(), [departure("b", 18)]);
+    assert_eq!(held.decided_revision(20), 20);
 }
 
 fn life(born: u64, revision: u64) -> BackEndEntry {
@@ -140,24 +142,24 @@
     all.upsert(life(100, 1), Time(0), &mut change);
     let known = all.get_mut("a").expect("is known");
     known.on_send(Time(0));
-    known.load.on_told(9, Time(5));
+    known.load.on_report(9, Time(5));
     for _ in 0..9 {
         known.on_outcome(true, Time(5));
         known.on_unreachable(Time(5));
     }
     known.on_replaced();
-    let before = LifeId::of(&known.entry);
+    let before = InstanceId::of(&known.entry);
     all.upsert(life(200, 2), Time(10), &mut change);
     let known = all.get("a").expect("is known");
-    assert_eq!(change.reborn, ["a"]);
-    let vanished = [VanishedLife {
+    assert_eq!(change.restarted, ["a"]);
+    let vanished = [VanishedInstance {
         back_end: "a".to_owned(),
-        life: before,
+        instance: before,
     }];
     assert_eq!(change.vanished, vanished);
-    assert_ne!(LifeId::of(&known.entry), before);
+    assert_ne!(InstanceId::of(&known.entry), before);
     assert_eq!(known.load.in_flight, 0);
-    assert!(known.load.told(Time(10)).is_none());
+    assert!(known.load.reported(Time(10)).is_none());
     assert!(!known.is_suspect() && known.may_get_requests(Time(10)));
 }
 
@@ -168,7 +170,7 @@
     all.upsert(life(200, 2), Time(0), &mut change);
     all.upsert(life(100, 9), Time(10), &mut change);
     assert_eq!(all.get("a").expect("is known").entry, life(200, 2));
-    assert!(change.reborn.is_empty());
+    assert!(change.restarted.is_empty());
 }
 
 #[test]
--- a/crates/stacktack-core/tests/freshness.rs
+++ b/crates/stacktack-core/tests/freshness.rs
@@ -12,8 +12,8 @@
 use stacktack_core::direct::peers::peer_news::OwnNews;
 use stacktack_core::direct::peers::{Outgoing, Peers};
 use stacktack_core::direct::sources::freshness::Freshness;
-use stacktack_core::direct::sources::news_budget::NewsBudget;
-use stacktack_core::direct::sources::watch::{Watch, WatchInputs};
+use stacktack_core::direct::sources::staleness_budget::StalenessBudget;
+use stacktack_core::direct::sources::watch::{SourceWatch, WatchInputs};
 use stacktack_core::time::Time;
 
 use event_queue::{random_time, EventQueue};
@@ -67,7 +67,7 @@
 struct Router {
     peers: Peers,
     freshness: Freshness,
-    watch: Watch,
+    watch: SourceWatch,
     /// Number of the call that waits for news; calls of other numbers are dead or dropped.
     call: u64,
     watches: bool,
@@ -81,7 +81,7 @@
     queue: EventQueue<Event>,
     random: ChaCha8Rng,
     routers: Vec<Router>,
-    budget: NewsBudget,
+    budget: StalenessBudget,
     network: Network<Option<(ToldAge, u64)>>,
     calls: usize,
     oldest: Duration,
@@ -108,7 +108,7 @@
             routers.push(Router {
                 peers: peers(number, count, &mut random, START),
                 freshness: Freshness::default(),
-                watch: Watch::new(random.random()),
+                watch: SourceWatch::new(random.random()),
                 call: 0,
                 watches: false,
                 plan: 0,
@@ -119,7 +119,7 @@
             queue,
             random,
             routers,
-            budget: NewsBudget::new(bound),
+            budget: StalenessBudget::new(bound),
             network: Network::new(count),
             calls: 0,
             oldest: Duration::ZERO,
@@ -182,7 +182,7 @@
     }
 
     fn send(&mut self, number: usize, outgoing: Vec<Outgoing>, other_bytes: usize) {
-        let told_at = self.routers[number].freshness.told_at();
+        let told_at = self.routers[number].freshness.answered_at_ms();
         let told = self.age(number).and_then(ToldAge::new);
         let told = told.map(|age| (age, told_at));
         let peers = &mut self.routers[number].peers;
@@ -213,13 +213,14 @@
     fn learn(&mut self, number: usize, as_of: Time, told_at: u64) {
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        let newer_by = router
-            .freshness
-            .note(as_of, told_at, self.budget.gap(), now);
+        let newer_by =
+            router
+                .freshness
+                .record_answer(as_of, told_at, self.budget.gap_threshold(), now);
         let Some(newer_by) = newer_by else {
             return;
         };
-        if newer_by >= self.budget.watch().mul_f64(WORTH_TELLING) {
+        if newer_by >= self.budget.watch_period().mul_f64(WORTH_TELLING) {
             let outgoing = router.peers.push(&Self::own_news(), true, &mut self.random);
             self.send(number, outgoing, 0);
         }
@@ -276,7 +277,7 @@
             return;
         }
         let draw = self.random.random();
-        self.routers[number].watch.on_look(draw, now);
+        self.routers[number].watch.on_poll(draw, now);
         self.ask(number, true);
         self.plan_look(number);
     }
@@ -288,8 +289,8 @@
         let router = &mut self.routers[number];
         let waits = match (by_look, router.peers.alive()) {
             (true, _) => Duration::ZERO,
-            (false, 0) => self.budget.wait_alone(Duration::ZERO),
-            (false, _) => self.budget.wait(Duration::ZERO, self.random.random()),
+            (false, 0) => self.budget.wait_without_peers(Duration::ZERO),
+            (false, _) => self.budget.watch_wait(Duration::ZERO, self.random.random()),
         };
         router.watch.on_call(waits, now);
         router.watches = true;
@@ -356,7 +357,7 @@
     const SPAN: Duration = Duration::from_secs(30);
     let mut fleet = Fleet::new(routers, bound, seed);
     fleet.run_for(SPAN);
-    let most = fleet.budget.oldest() + INTERVAL;
+    let most = fleet.budget.max_age() + INTERVAL;
     assert!(
         fleet.oldest <= most,
         "{routers} routers, {bound:?}: {:?}",
@@ -404,7 +405,7 @@
             let mut fleet = Fleet::new(routers, bound, seed);
             fleet.silence_calls();
             fleet.run_for(Duration::from_secs(20));
-            let most = fleet.budget.oldest() + INTERVAL;
+            let most = fleet.budget.max_age() + INTERVAL;
             assert!(
                 fleet.oldest <= most,
                 "{routers} routers, {bound:?}, seed {seed}: {:?}",
@@ -456,7 +457,7 @@
                 fleet.stop_watching_ones(share);
             }
             fleet.run_for(bound);
-            let most = fleet.budget.oldest() + INTERVAL;
+            let most = fleet.budget.max_age() + INTERVAL;
             assert!(
                 fleet.oldest <= most,
                 "{routers} routers, {share}: {:?}",
@@ -478,7 +479,7 @@
         fleet.run_for(AWAY);
         fleet.silent = false;
         let returned = fleet.queue.now;
-        fleet.run_for(fleet.budget.answer() + Duration::from_millis(500));
+        fleet.run_for(fleet.budget.answer_timeout() + Duration::from_millis(500));
         let since = fleet.queue.now.since(returned) + ANSWER;
         let oldest = (0..routers).filter_map(|number| fleet.age(number)).max();
         assert!(oldest <= Some(since), "{routers} routers: {oldest:?}");
--- a/crates/stacktack-core/tests/load_news/world.rs
+++ b/crates/stacktack-core/tests/load_news/world.rs
@@ -136,9 +136,9 @@
         match waiting {
             Waiting::Head { back_end, load } => {
                 let known = self.back_ends.get_mut(&name(*back_end));
-                known.expect("known").load.on_told(*load, now);
+                known.expect("known").load.on_report(*load, now);
             }
-            Waiting::News(loads) => self.back_ends.take_told_loads(loads, now),
+            Waiting::News(loads) => self.back_ends.merge_reported_loads(loads, now),
         }
     }
 
@@ -147,8 +147,8 @@
         let fresh = self.peers.tells_all_quickly();
         for back_end in self.back_ends.iter_mut() {
             let short = ShortId::of(back_end.id_hash);
-            back_end.load.in_flight_elsewhere = f64::from(loads.get(&short).copied().unwrap_or(0));
-            back_end.load.elsewhere_is_fresh = fresh;
+            back_end.load.in_flight_from_peers = f64::from(loads.get(&short).copied().unwrap_or(0));
+            back_end.load.peer_counts_are_fresh = fresh;
         }
     }
 }
@@ -298,7 +298,7 @@
             told_loads: if all_loads {
                 Vec::new()
             } else {
-                router.back_ends.told_loads(now)
+                router.back_ends.reported_loads(now)
             },
             suspects: Vec::new(),
             zone_drains: Vec::new(),
@@ -343,12 +343,12 @@
                 let known = known.get(&name(back_end)).expect("known");
                 let truth = f64::from(self.truth[back_end]);
                 self.errors
-                    .push((known.load.believed(self.queue.now) - truth).abs());
+                    .push((known.load.estimate(self.queue.now) - truth).abs());
                 self.loads.0 += truth;
                 self.loads.1 += 1;
                 let age = known
                     .load
-                    .told(self.queue.now)
+                    .reported(self.queue.now)
                     .map(|told| self.queue.now.since(told.at));
                 let age = age.unwrap_or(Duration::from_secs(60)).as_millis() as u64;
                 *self.ages.entry(age).or_insert(0) += 1;
--- a/crates/stacktack-core/tests/news_budget.rs
+++ b/crates/stacktack-core/tests/news_budget.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use stacktack_core::direct::sources::news_budget::NewsBudget;
-use stacktack_core::direct::sources::store_pace;
+use stacktack_core::direct::sources::staleness_budget::StalenessBudget;
+use stacktack_core::direct::sources::update_batching;
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -14,20 +14,20 @@
 #[test]
 fn the_parts_fit_into_the_bound_whatever_it_is() {
     for bound in [ms(500), ms(2000), ms(3000), ms(4000), ms(5000), ms(30_000)] {
-        let budget = NewsBudget::new(bound);
-        let known = budget.oldest() + budget.answer();
+        let budget = StalenessBudget::new(bound);
+        let known = budget.max_age() + budget.answer_timeout();
         assert!(known <= bound.mul_f64(0.8), "{bound:?}: {known:?}");
         for routers in [1, 4, 24, 103, 357, 714] {
-            let gathered = store_pace::gather(routers, &budget);
-            assert!(gathered < budget.oldest(), "{bound:?}, {routers} routers");
+            let gathered = update_batching::batch_window(routers, &budget);
+            assert!(gathered < budget.max_age(), "{bound:?}, {routers} routers");
         }
     }
 }
 
 #[test]
 fn a_look_is_due_once_what_is_known_is_too_old() {
-    let budget = NewsBudget::new(ms(2000));
-    let until = |age, since_look| budget.until_look(ms(age), since_look, Duration::ZERO);
+    let budget = StalenessBudget::new(ms(2000));
+    let until = |age, since_look| budget.until_poll(ms(age), since_look, Duration::ZERO);
     assert_eq!(until(0, None), ms(1200));
     assert_eq!(until(1000, Some(ms(50))), ms(350));
     assert_eq!(until(1300, Some(ms(400))), Duration::ZERO);
@@ -37,25 +37,25 @@
 
 #[test]
 fn looks_at_a_slow_source_do_not_pile_up() {
-    let budget = NewsBudget::new(ms(2000));
-    let left = budget.until_look(ms(1500), Some(ms(500)), ms(1360));
+    let budget = StalenessBudget::new(ms(2000));
+    let left = budget.until_poll(ms(1500), Some(ms(500)), ms(1360));
     assert_eq!(left, ms(2220));
 }
 
 #[test]
 fn a_lone_router_waits_no_longer_than_until_its_look() {
-    let budget = NewsBudget::new(ms(3000));
-    assert!(budget.wait_alone(Duration::ZERO) < budget.oldest());
-    assert_eq!(budget.wait_alone(ms(9000)), Duration::ZERO);
+    let budget = StalenessBudget::new(ms(3000));
+    assert!(budget.wait_without_peers(Duration::ZERO) < budget.max_age());
+    assert_eq!(budget.wait_without_peers(ms(9000)), Duration::ZERO);
 }
 
 /// Equal waits that begin with the same news end in step, and nobody would see that others watch.
 #[test]
 fn waits_are_spread() {
-    let budget = NewsBudget::new(ms(5000));
-    let wait = |draw| budget.wait(Duration::ZERO, draw);
+    let budget = StalenessBudget::new(ms(5000));
+    let wait = |draw| budget.watch_wait(Duration::ZERO, draw);
     let (longest, shortest) = (wait(0.0), wait(0.999));
-    assert_eq!(longest, budget.watch());
+    assert_eq!(longest, budget.watch_period());
     assert!(shortest < longest.mul_f64(0.8));
 }
 
@@ -64,13 +64,13 @@
 #[test]
 fn who_watches_answers_to_the_others_in_time_whatever_it_gathered() {
     for bound in [ms(2000), ms(5000)] {
-        let budget = NewsBudget::new(bound);
+        let budget = StalenessBudget::new(bound);
         for routers in [1, 4, 24, 103, 357, 714] {
-            let gathered = store_pace::gather(routers, &budget);
+            let gathered = update_batching::batch_window(routers, &budget);
             for draw in [0.0, 0.5, 0.99] {
-                let age = gathered + budget.wait(gathered, draw);
+                let age = gathered + budget.watch_wait(gathered, draw);
                 assert!(
-                    age <= budget.watch(),
+                    age <= budget.watch_period(),
                     "{bound:?}, {routers} routers: {age:?}"
                 );
             }
@@ -82,14 +82,14 @@
 /// what is known is too old, whatever the number of routers.
 #[test]
 fn some_router_takes_its_turn_in_time() {
-    let budget = NewsBudget::new(ms(5000));
+    let budget = StalenessBudget::new(ms(5000));
     for routers in [1, 4, 24, 103, 357, 714] {
         // The first of so many draws that are even in 0..1, at its thousandth from below and from above.
         let first = |chance: f64| 1.0 - (1.0 - chance).powf(1.0 / routers as f64);
-        let earliest = budget.turn(routers, first(0.001));
-        let latest = budget.turn(routers, first(0.999));
-        assert!(earliest > budget.watch(), "{routers}: {earliest:?}");
-        let in_time = budget.oldest().saturating_sub(budget.spread());
+        let earliest = budget.takeover_delay(routers, first(0.001));
+        let latest = budget.takeover_delay(routers, first(0.999));
+        assert!(earliest > budget.watch_period(), "{routers}: {earliest:?}");
+        let in_time = budget.max_age().saturating_sub(budget.propagation_time());
         assert!(latest <= in_time, "{routers}: {latest:?}");
     }
 }
--- a/crates/stacktack-core/tests/part_shares.rs
+++ b/crates/stacktack-core/tests/part_shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use stacktack_core::direct::back_ends::standing::Standing;
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::choice::part_shares::{PartShares, SharedPool};
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
 use stacktack_core::time::Time;
@@ -92,7 +92,7 @@
         load: *load,
         limit: f64::INFINITY,
         same_zone: true,
-        standing: Standing::Good,
+        standing: Health::Good,
         open: true,
     };
     loads.iter().enumerate().map(candidate).collect()
--- a/crates/stacktack-core/tests/passed_by_members/world.rs
+++ b/crates/stacktack-core/tests/passed_by_members/world.rs
@@ -6,8 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::back_ends::load::BackEndLoad;
-use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::part_shares::{PartShares, SharedPool};
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
 use stacktack_core::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
@@ -152,7 +152,7 @@
                 Event::Arrival => self.arrive(),
                 Event::Head { router, back_end } => {
                     let now = self.queue.now;
-                    self.routers[router][back_end].on_told(self.held[back_end], now);
+                    self.routers[router][back_end].on_report(self.held[back_end], now);
                 }
                 Event::End { router, back_end } => self.end(router, back_end),
                 Event::Tick => self.hand_on(),
@@ -218,9 +218,9 @@
         let reports: Vec<LoadReport> = self.routers[router]
             .iter()
             .map(|load| LoadReport {
-                load: load.believed(now),
+                load: load.estimate(now),
                 slots: SLOTS,
-                age: load.news_age(now),
+                age: load.estimate_age(now),
             })
             .collect();
         let pool = PoolLoad::of(&reports);
@@ -234,7 +234,7 @@
                 load: pool.map_or(report.load, |pool| pool.expected(report, hold)),
                 limit: f64::INFINITY,
                 same_zone: true,
-                standing: Standing::Good,
+                standing: Health::Good,
                 open: true,
             })
             .collect();
@@ -288,7 +288,7 @@
                 .iter()
                 .enumerate()
                 .filter_map(|(back_end, load)| {
-                    let told = load.told(now)?;
+                    let told = load.reported(now)?;
                     let short = ShortId([0, 0, 0]);
                     Some((back_end, LoadNews::new(short, told.requests, told.at, now)?))
                 })
@@ -297,7 +297,7 @@
             news.truncate(TOLD_LOADS_PER_DATAGRAM);
             for (back_end, load) in news {
                 let told_at = load.told_at(now);
-                self.routers[to][back_end].on_told(u32::from(load.requests), told_at);
+                self.routers[to][back_end].on_report(u32::from(load.requests), told_at);
             }
         }
     }
--- a/crates/stacktack-core/tests/quarantine/main.rs
+++ b/crates/stacktack-core/tests/quarantine/main.rs
@@ -10,7 +10,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::back_ends::directory::LifeId;
+use stacktack_core::direct::back_ends::directory::InstanceId;
 use stacktack_core::direct::quarantine::broken_runs::{BrokenRun, BrokenRuns};
 use stacktack_core::direct::quarantine::record::{RecordNews, Treatment};
 use stacktack_core::direct::quarantine::{Quarantine, StoredVerdict};
@@ -121,7 +121,7 @@
     }
 }
 
-fn life(number: u64) -> LifeId {
+fn life(number: u64) -> InstanceId {
     life_of(0, number)
 }
 
--- a/crates/stacktack-core/tests/quarantine/world.rs
+++ b/crates/stacktack-core/tests/quarantine/world.rs
@@ -10,8 +10,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::back_ends::directory::{BackEndEntry, LifeId};
-use stacktack_core::direct::back_ends::standing::Standing;
+use stacktack_core::direct::back_ends::directory::{BackEndEntry, InstanceId};
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::choice::select::DirectCandidate;
 use stacktack_core::direct::peers::peer_news::{OwnNews, PeerNews, ZoneHash};
 use stacktack_core::direct::peers::Peers;
@@ -151,8 +151,8 @@
     format!("b-{back_end}")
 }
 
-pub fn life_of(back_end: usize, life: u64) -> LifeId {
-    LifeId::of(&BackEndEntry {
+pub fn life_of(back_end: usize, life: u64) -> InstanceId {
+    InstanceId::of(&BackEndEntry {
         id: id(back_end),
         born: life + 1,
         address: address(back_end),
@@ -409,9 +409,9 @@
                 limit: f64::INFINITY,
                 same_zone: true,
                 standing: if back_end.up {
-                    Standing::Good
+                    Health::Good
                 } else {
-                    Standing::Ejected
+                    Health::Ejected
                 },
                 open: true,
             })
--- a/crates/stacktack-core/tests/slow_start.rs
+++ b/crates/stacktack-core/tests/slow_start.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
-use stacktack_core::direct::back_ends::slow_start::{ColdGate, KnownFleet, SlowStart};
+use stacktack_core::direct::back_ends::slow_start::{KnownFleet, SlowStart, SlowStartLimiter};
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::time::Time;
 
@@ -50,15 +50,15 @@
     let mut random = ChaCha8Rng::seed_from_u64(routers as u64);
     let start = Time(1_000_000);
     let until = start + Duration::from_secs(3);
-    let mut gates: Vec<ColdGate> = (0..routers)
+    let mut gates: Vec<SlowStartLimiter> = (0..routers)
         .map(|number| {
-            let mut gate = ColdGate::new(until, start);
+            let mut gate = SlowStartLimiter::new(until, start);
             let fleet = KnownFleet {
-                own: address(number),
+                own_address: address(number),
                 peers: &knows(number),
                 is_complete: is_complete(number),
             };
-            let share = slow_start().router_share(&fleet, 77);
+            let share = slow_start().router_rate(&fleet, 77);
             gate.set_rate(share, start);
             gate
         })
@@ -74,7 +74,7 @@
             return (most, all);
         }
         let gate = &mut gates[random.random_range(0..routers)];
-        if !gate.has_room(now) {
+        if !gate.allows_request(now) {
             continue;
         }
         gate.on_send(now);
@@ -180,7 +180,7 @@
 
 fn alone() -> KnownFleet<'static> {
     KnownFleet {
-        own: address(1),
+        own_address: address(1),
         peers: &[],
         is_complete: true,
     }
@@ -234,11 +234,11 @@
     assert!(is_cold(&back_ends, 3000));
     let member = back_ends.get("b").expect("known");
     assert!(!member.may_get_requests(at(101)), "no share is set yet");
-    back_ends.update_cold(&[slow_start()], &alone(), at(200));
+    back_ends.update_slow_start(&[slow_start()], &alone(), at(200));
     let member = back_ends.get("b").expect("known");
     assert!(member.may_get_requests(at(201)));
     assert_eq!(
-        back_ends.update_cold(&[slow_start()], &alone(), at(3100)),
+        back_ends.update_slow_start(&[slow_start()], &alone(), at(3100)),
         ["b"]
     );
 }
@@ -249,7 +249,7 @@
     let mut back_ends = BackEnds::default();
     let mut change = DirectoryChange::default();
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(0), &mut change);
-    back_ends.update_cold(&[], &alone(), at(100));
+    back_ends.update_slow_start(&[], &alone(), at(100));
     let member = back_ends.get("b").expect("known");
     assert!(member.may_get_requests(at(100)));
 }
--- a/crates/stacktack-core/tests/suspicion.rs
+++ b/crates/stacktack-core/tests/suspicion.rs
@@ -6,8 +6,8 @@
 
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
-use stacktack_core::direct::back_ends::standing::Standing;
-use stacktack_core::direct::back_ends::suspicion::{RequestRisk, Suspicion};
+use stacktack_core::direct::back_ends::health::Health;
+use stacktack_core::direct::back_ends::outlier_detector::{OutlierDetector, Retryability};
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::time::Time;
 
@@ -18,8 +18,8 @@
     Time(milliseconds * 1000)
 }
 
-fn after(outcomes: &[bool], usual: f64) -> Suspicion {
-    let mut suspicion = Suspicion::default();
+fn after(outcomes: &[bool], usual: f64) -> OutlierDetector {
+    let mut suspicion = OutlierDetector::default();
     for failed in outcomes {
         suspicion.on_outcome(*failed, usual, at(0));
     }
@@ -43,18 +43,18 @@
 #[test]
 fn a_suspect_is_passed_by_for_longer_each_time_until_it_is_cleared() {
     let mut suspicion = after(&[true], RARE);
-    assert!(!suspicion.may_be_tried(at(900), RequestRisk::Repeatable));
-    assert!(suspicion.may_be_tried(at(1000), RequestRisk::Repeatable));
+    assert!(!suspicion.allows_trial(at(900), Retryability::Retryable));
+    assert!(suspicion.allows_trial(at(1000), Retryability::Retryable));
     suspicion.on_outcome(true, RARE, at(1000));
-    assert!(!suspicion.may_be_tried(at(2900), RequestRisk::Repeatable));
-    assert!(suspicion.may_be_tried(at(3000), RequestRisk::Repeatable));
+    assert!(!suspicion.allows_trial(at(2900), Retryability::Retryable));
+    assert!(suspicion.allows_trial(at(3000), Retryability::Retryable));
     for _ in 0..2 {
         suspicion.on_outcome(false, RARE, at(3000));
     }
     assert!(!suspicion.is_suspect());
     suspicion.on_outcome(true, RARE, at(9000));
     assert!(
-        suspicion.may_be_tried(at(10_000), RequestRisk::Repeatable),
+        suspicion.allows_trial(at(10_000), Retryability::Retryable),
         "the first pause again"
     );
 }
@@ -77,7 +77,7 @@
     all
 }
 
-fn standing(all: &mut BackEnds, id: &str, now: Time, request: RequestRisk) -> Standing {
+fn standing(all: &mut BackEnds, id: &str, now: Time, request: Retryability) -> Health {
     let members = all.pool(now, request, |_| true);
     let member = members.iter().find(|(member, _)| member.entry.id == id);
     member.expect("a member").1
@@ -87,29 +87,29 @@
 fn a_suspect_is_tried_with_one_request_that_may_be_repeated() {
     let mut all = pool(6);
     all.get_mut("b0").expect("known").on_outcome(true, at(0));
-    for risk in [RequestRisk::Final, RequestRisk::Repeatable] {
-        assert_eq!(standing(&mut all, "b0", at(10), risk), Standing::Degraded);
+    for risk in [Retryability::NotRetryable, Retryability::Retryable] {
+        assert_eq!(standing(&mut all, "b0", at(10), risk), Health::Degraded);
     }
     let later = at(1100);
     assert_eq!(
-        standing(&mut all, "b0", later, RequestRisk::Final),
-        Standing::Degraded
+        standing(&mut all, "b0", later, Retryability::NotRetryable),
+        Health::Degraded
     );
     assert_eq!(
-        standing(&mut all, "b0", later, RequestRisk::Repeatable),
-        Standing::Good
+        standing(&mut all, "b0", later, Retryability::Retryable),
+        Health::Good
     );
     all.get_mut("b0").expect("known").on_send(later);
     assert_eq!(
-        standing(&mut all, "b0", later, RequestRisk::Repeatable),
-        Standing::Degraded
+        standing(&mut all, "b0", later, Retryability::Retryable),
+        Health::Degraded
     );
     let member = all.get_mut("b0").expect("known");
     member.load.on_end(at(0));
     member.on_outcome(false, later);
     assert_eq!(
-        standing(&mut all, "b0", later, RequestRisk::Final),
-        Standing::Good
+        standing(&mut all, "b0", later, Retryability::NotRetryable),
+        Health::Good
     );
 }
 
@@ -119,39 +119,39 @@
 fn a_suspect_is_tried_with_any_request_after_a_longer_time() {
     let mut all = pool(6);
     all.get_mut("b0").expect("known").on_outcome(true, at(0));
-    let risk = RequestRisk::Final;
-    assert_eq!(standing(&mut all, "b0", at(3900), risk), Standing::Degraded);
-    assert_eq!(standing(&mut all, "b0", at(4000), risk), Standing::Good);
+    let risk = Retryability::NotRetryable;
+    assert_eq!(standing(&mut all, "b0", at(3900), risk), Health::Degraded);
+    assert_eq!(standing(&mut all, "b0", at(4000), risk), Health::Good);
     all.get_mut("b0").expect("known").on_send(at(4000));
-    assert_eq!(standing(&mut all, "b0", at(4100), risk), Standing::Degraded);
+    assert_eq!(standing(&mut all, "b0", at(4100), risk), Health::Degraded);
 }
 
 fn accuse(all: &mut BackEnds, id: &str, peers: &[u8], now: Time) {
     for peer in peers {
         let peer = SocketAddr::from(([127, 0, 0, *peer], 9));
-        all.get_mut(id).expect("known").on_accused(peer, now);
+        all.get_mut(id).expect("known").on_suspect_report(peer, now);
     }
 }
 
 #[test]
 fn what_peers_saw_counts_for_a_while_and_less_than_an_own_good_answer() {
     let mut all = pool(6);
-    let risk = RequestRisk::Repeatable;
+    let risk = Retryability::Retryable;
     accuse(&mut all, "b0", &[1, 1], at(0));
     assert_eq!(
         standing(&mut all, "b0", at(50), risk),
-        Standing::Good,
+        Health::Good,
         "one peer"
     );
     accuse(&mut all, "b0", &[2], at(0));
-    assert_eq!(standing(&mut all, "b0", at(100), risk), Standing::Degraded);
+    assert_eq!(standing(&mut all, "b0", at(100), risk), Health::Degraded);
     assert!(all.suspects(9).is_empty(), "hearsay is not told on");
-    assert_eq!(standing(&mut all, "b0", at(1600), risk), Standing::Good);
+    assert_eq!(standing(&mut all, "b0", at(1600), risk), Health::Good);
     accuse(&mut all, "b0", &[1, 2], at(2000));
     let member = all.get_mut("b0").expect("known");
     member.on_outcome(false, at(2100));
-    assert_eq!(standing(&mut all, "b0", at(2200), risk), Standing::Good);
-    assert_eq!(standing(&mut all, "b0", at(2700), risk), Standing::Degraded);
+    assert_eq!(standing(&mut all, "b0", at(2200), risk), Health::Good);
+    assert_eq!(standing(&mut all, "b0", at(2700), risk), Health::Degraded);
 }
 
 #[test]
@@ -160,8 +160,8 @@
     for id in ["b0", "b1", "b2"] {
         accuse(&mut all, id, &[1, 2], at(0));
     }
-    let risk = RequestRisk::Final;
-    assert_eq!(standing(&mut all, "b0", at(100), risk), Standing::Good);
+    let risk = Retryability::NotRetryable;
+    assert_eq!(standing(&mut all, "b0", at(100), risk), Health::Good);
 }
 
 /// Found by a hunted day: the whole fleet passed by busy back ends at once, and
--- a/crates/stacktack-core/tests/zone_drains.rs
+++ b/crates/stacktack-core/tests/zone_drains.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainNews, ZoneDrains};
+use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainUpdate, ZoneDrains};
 use stacktack_core::direct::peers::peer_news::OwnNews;
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::time::Time;
@@ -38,55 +38,55 @@
     for _ in 0..50 {
         let mut drains = ZoneDrains::default();
         for _ in 0..40 {
-            drains.take(&news[random.random_range(0..news.len())]);
+            drains.merge(&news[random.random_range(0..news.len())]);
         }
         for change in &news {
-            drains.take(change);
+            drains.merge(change);
         }
         assert!(drains.is_drained("a"));
         assert!(!drains.is_drained("b"));
-        assert_eq!(drains.drained(), 1);
+        assert_eq!(drains.drained_count(), 1);
     }
 }
 
 #[test]
 fn only_a_change_is_told_as_one() {
     let mut drains = ZoneDrains::default();
-    assert!(!drains.take(&drain("a", false, 4)), "was not drained");
-    assert!(drains.take(&drain("a", true, 5)));
-    assert!(!drains.take(&drain("a", true, 5)), "the same again");
-    assert!(!drains.take(&drain("a", true, 7)), "asked for again");
-    assert!(drains.take(&drain("a", false, 9)));
-    assert!(!drains.take(&drain("a", true, 8)), "late news");
+    assert!(!drains.merge(&drain("a", false, 4)), "was not drained");
+    assert!(drains.merge(&drain("a", true, 5)));
+    assert!(!drains.merge(&drain("a", true, 5)), "the same again");
+    assert!(!drains.merge(&drain("a", true, 7)), "asked for again");
+    assert!(drains.merge(&drain("a", false, 9)));
+    assert!(!drains.merge(&drain("a", true, 8)), "late news");
 }
 
 #[test]
 fn what_a_whole_list_leaves_out_has_ended_unless_it_is_newer() {
     let mut drains = ZoneDrains::default();
-    drains.take(&drain("a", true, 5));
-    drains.take(&drain("b", true, 30));
-    let news = ZoneDrainNews {
+    drains.merge(&drain("a", true, 5));
+    drains.merge(&drain("b", true, 30));
+    let news = ZoneDrainUpdate {
         changes: Vec::new(),
-        whole_as_of: Some(20),
+        snapshot_revision: Some(20),
     };
-    for ended in drains.ended(&news) {
-        drains.take(&ended);
+    for ended in drains.ended_drains(&news) {
+        drains.merge(&ended);
     }
     assert!(!drains.is_drained("a"));
     assert!(drains.is_drained("b"), "asked for after the list was read");
-    let changes_only = ZoneDrainNews::default();
-    assert!(drains.ended(&changes_only).is_empty());
+    let changes_only = ZoneDrainUpdate::default();
+    assert!(drains.ended_drains(&changes_only).is_empty());
 }
 
 #[test]
 fn more_zones_than_are_remembered_push_out_those_that_are_not_drained() {
     let mut drains = ZoneDrains::default();
-    drains.take(&drain("kept", true, 1));
+    drains.merge(&drain("kept", true, 1));
     for number in 0..40 {
-        drains.take(&drain(&format!("z{number}"), false, number + 2));
+        drains.merge(&drain(&format!("z{number}"), false, number + 2));
     }
     assert!(drains.is_drained("kept"));
-    assert!(drains.told().len() <= 16);
+    assert!(drains.gossip().len() <= 16);
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -158,7 +158,7 @@
             loads: Vec::new(),
             told_loads: Vec::new(),
             suspects: Vec::new(),
-            zone_drains: router.drains.told(),
+            zone_drains: router.drains.gossip(),
         };
         for outgoing in router.peers.tick(&own, now) {
             let peers = &mut router.peers;
@@ -180,7 +180,7 @@
         }
         router.peers.receive(&news, now);
         for drain in &news.zone_drains {
-            router.drains.take(drain);
+            router.drains.merge(drain);
         }
     }
 
@@ -224,7 +224,7 @@
         for (revision, drained) in [(10, true), (20, false), (30, true)] {
             fleet.routers[count / 2]
                 .drains
-                .take(&drain("b", drained, revision));
+                .merge(&drain("b", drained, revision));
             let took = fleet.until_all("b", drained, BOUND);
             println!("routers={count} drained={drained} took={took:?}");
         }
@@ -239,7 +239,7 @@
         let mut fleet = Fleet::new(count);
         fleet.run_for(settled_after(count));
         fleet.routers[0].paused = true;
-        fleet.routers[1].drains.take(&drain("b", true, 10));
+        fleet.routers[1].drains.merge(&drain("b", true, 10));
         fleet.until_all("b", true, BOUND);
         let started = count - 1;
         let now = fleet.queue.now;
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::http::response;
 use hyper::Response;
 use stacktack_core::direct::back_ends::back_end::BackEnd;
-use stacktack_core::direct::back_ends::directory::{LifeId, VanishedLife};
+use stacktack_core::direct::back_ends::directory::{InstanceId, VanishedInstance};
 use stacktack_core::direct::request::attempt::AttemptFailure;
 use stacktack_core::direct::traffic::route::Route;
 
@@ -55,7 +55,7 @@
     /// Load of the back end when it was chosen.
     load: f64,
     /// The life of the back end that it was sent to.
-    pub(crate) life: LifeId,
+    pub(crate) life: InstanceId,
     /// Whether it runs on probation.
     pub(crate) on_probation: bool,
     /// On the steady clock: what it tells of the back end's speed leaves suspensions of this
@@ -74,7 +74,7 @@
             let mut back_ends = router.back_ends.borrow_mut();
             let known = back_ends.get_mut(back_end)?;
             known.on_send(now);
-            let life = LifeId::of(&known.entry);
+            let life = InstanceId::of(&known.entry);
             (known.entry.address, known.entry.slots, life)
         };
         Some(Attempt {
@@ -111,7 +111,7 @@
     fn with_back_end(&self, act: impl FnOnce(&mut BackEnd)) {
         let mut back_ends = self.router.back_ends.borrow_mut();
         let known = back_ends.get_mut(&self.back_end);
-        if let Some(back_end) = known.filter(|known| LifeId::of(&known.entry) == self.life) {
+        if let Some(back_end) = known.filter(|known| InstanceId::of(&known.entry) == self.life) {
             act(back_end);
         }
     }
@@ -137,7 +137,7 @@
             back_end.on_bytes(now);
             back_end.on_first_byte(after);
             if let Some(load) = load {
-                back_end.load.on_told(load, now);
+                back_end.load.on_report(load, now);
             }
         });
     }
@@ -209,9 +209,9 @@
             back_end.on_replaced();
         });
         log::info!(target: "belief", "back_end={} replaced=true cause=other_instance", self.back_end);
-        let vanished = VanishedLife {
+        let vanished = VanishedInstance {
             back_end: self.back_end.clone(),
-            life: self.life,
+            instance: self.life,
         };
         self.router.on_vanished(&[vanished]);
     }
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/back_end_end.rs
@@ -7,7 +7,7 @@
 
 use futures_util::future::{LocalBoxFuture, Shared};
 use futures_util::FutureExt;
-use stacktack_core::direct::back_ends::directory::{LifeId, VanishedLife};
+use stacktack_core::direct::back_ends::directory::{InstanceId, VanishedInstance};
 use stacktack_core::direct::quarantine::broken_runs::BrokenRun;
 use stacktack_core::direct::request::attempt::AttemptFailure;
 use stacktack_core::time::Time;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 struct Subject {
     id: String,
-    life: LifeId,
+    life: InstanceId,
     address: SocketAddr,
 }
 
@@ -131,7 +131,7 @@
 impl Router {
     /// It showed that a life of a back end ended: what broke off there counts against the
     /// requests that it was running.
-    pub(crate) fn on_back_end_ended(&self, back_end: &str, life: LifeId, cause: &'static str) {
+    pub(crate) fn on_back_end_ended(&self, back_end: &str, life: InstanceId, cause: &'static str) {
         let now = self.now();
         let runs = self.broken_runs.borrow_mut().on_ended(life, now);
         let named: Vec<String> = runs
@@ -160,7 +160,7 @@
 
     /// A request found nobody there. Where runs had broken off and the look at that was lost on
     /// its way, this shows that the back end ended.
-    pub(crate) fn on_refused(&self, back_end: &str, life: LifeId) {
+    pub(crate) fn on_refused(&self, back_end: &str, life: InstanceId) {
         let waiting = self.broken_runs.borrow().is_waiting(life);
         if waiting {
             self.on_back_end_ended(back_end, life, "refused");
@@ -175,8 +175,12 @@
 
     /// Entries vanished from the directory, or tell of another life: where runs had broken
     /// off, the lives that they were known under have ended.
-    pub(crate) fn on_vanished(&self, vanished: &[VanishedLife]) {
-        for VanishedLife { back_end, life } in vanished {
+    pub(crate) fn on_vanished(&self, vanished: &[VanishedInstance]) {
+        for VanishedInstance {
+            back_end,
+            instance: life,
+        } in vanished
+        {
             let waiting = self.broken_runs.borrow().is_waiting(*life);
             if waiting {
                 self.on_back_end_ended(back_end, *life, "vanished");
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -3,8 +3,8 @@
 use stacktack_core::configuration::selector::{matches_all, Requirement};
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
 use stacktack_core::direct::admission::SlotLimit;
-use stacktack_core::direct::back_ends::directory::LifeId;
-use stacktack_core::direct::back_ends::suspicion::RequestRisk;
+use stacktack_core::direct::back_ends::directory::InstanceId;
+use stacktack_core::direct::back_ends::outlier_detector::Retryability;
 use stacktack_core::direct::choice::select::DirectCandidate;
 use stacktack_core::direct::rollout::VersionSide;
 
@@ -13,14 +13,14 @@
 
 impl Router {
     /// Whether a life of a back end that was chosen takes new work still.
-    pub fn may_send(&self, back_end: &str, life: LifeId) -> bool {
+    pub fn may_send(&self, back_end: &str, life: InstanceId) -> bool {
         let back_ends = self.back_ends.borrow();
         let Some(known) = back_ends.get(back_end) else {
             return false;
         };
         let drained = self.zone_drains.borrow().covers(&known.entry);
         let is_withheld = self.is_withheld(&known.entry, &back_ends);
-        !known.entry.leaving && !drained && !is_withheld && LifeId::of(&known.entry) == life
+        !known.entry.leaving && !drained && !is_withheld && InstanceId::of(&known.entry) == life
     }
 
     /// Candidates of a pool for a request. Without a limit all have room.
@@ -28,7 +28,7 @@
         &self,
         pool: &[Requirement],
         excluded: &[String],
-        request: RequestRisk,
+        request: Retryability,
         limit: Option<SlotLimit>,
     ) -> Candidates {
         let choice = self.version_choice(pool, excluded.is_empty());
@@ -45,7 +45,7 @@
         choice: VersionChoice,
         pool: &[Requirement],
         excluded: &[String],
-        request: RequestRisk,
+        request: Retryability,
         limit: Option<SlotLimit>,
     ) -> Candidates {
         let now = self.now();
@@ -60,8 +60,8 @@
         for (index, (member, standing)) in members.into_iter().enumerate() {
             let zone = member.entry.zone();
             let drained = zone_drains.covers(&member.entry);
-            let load = member.load.believed(now);
-            let age = member.load.news_age(now);
+            let load = member.load.estimate(now);
+            let age = member.load.estimate_age(now);
             let slots = member.entry.slots;
             // Where nothing is known of others' requests, the own ones have to stay
             // within the limit.
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -7,8 +7,8 @@
 use stacktack_core::configuration::selector::matches_all;
 use stacktack_core::direct::admission::pool_load::PoolLoad;
 use stacktack_core::direct::admission::SlotLimit;
-use stacktack_core::direct::back_ends::standing::Standing;
-use stacktack_core::direct::back_ends::suspicion::RequestRisk;
+use stacktack_core::direct::back_ends::health::Health;
+use stacktack_core::direct::back_ends::outlier_detector::Retryability;
 use stacktack_core::direct::choice::part_shares::SharedPool;
 use stacktack_core::direct::choice::select::{
     is_home, likely_holder, select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
@@ -33,7 +33,7 @@
     /// Loads and place in the order.
     pub selection: Selection,
     /// How well it stands.
-    pub standing: Standing,
+    pub standing: Health,
     /// Age of the load that it told; `None` when the peers' counts are believed.
     pub load_age: Option<Duration>,
     /// Load of its pool; `None` where it is not known.
@@ -138,11 +138,11 @@
     }
 
     /// What a failure of the next attempt costs.
-    pub(crate) fn risk(&self) -> RequestRisk {
+    pub(crate) fn risk(&self) -> Retryability {
         if self.may_repeat_next() {
-            RequestRisk::Repeatable
+            Retryability::Retryable
         } else {
-            RequestRisk::Final
+            Retryability::NotRetryable
         }
     }
 
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -59,7 +59,7 @@
         let event = tokio::select! {
             event = calls.event(patience) => event,
             cause = look, if may_look => {
-                follower.look(cause.word(), &mut calls);
+                follower.look(cause.as_str(), &mut calls);
                 continue;
             }
             () = router.configuration_look.notified() => {
@@ -222,7 +222,7 @@
         self.known().note_read(news.revision);
         self.router.take_zone_drain_news(&news.zone_drains);
         self.router.take_rollout_orders(&news.rollouts);
-        if news.zone_drains.whole_as_of.is_some() {
+        if news.zone_drains.snapshot_revision.is_some() {
             self.drains_missed = false;
         } else if self.drains_missed {
             self.drains_missed = false;
--- a/crates/stacktack-direct/src/followers/dependency.rs
+++ b/crates/stacktack-direct/src/followers/dependency.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use stacktack_core::chart::ChartError;
-use stacktack_core::direct::sources::departure::DirectorySource;
-use stacktack_core::direct::sources::patience::Patience;
+use stacktack_core::direct::sources::adaptive_timeout::AdaptiveTimeout;
+use stacktack_core::direct::sources::directory_source::DirectorySource;
 use stacktack_core::time::Time;
 use tokio::sync::Notify;
 
@@ -15,7 +15,7 @@
 pub struct Dependency {
     name: &'static str,
     source: RefCell<DirectorySource>,
-    patience: Cell<Patience>,
+    patience: Cell<AdaptiveTimeout>,
     returned: Notify,
 }
 
@@ -32,7 +32,7 @@
 
     /// Lateness after which a call counts as unanswered.
     pub(super) fn patience(&self, at_start: bool) -> Duration {
-        self.patience.get().bound(at_start)
+        self.patience.get().timeout(at_start)
     }
 
     /// How late answers come, at most.
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use stacktack_core::direct::back_ends::directory::{DirectoryChange, DirectoryDelta};
-use stacktack_core::direct::sources::departure::Evidence;
-use stacktack_core::direct::sources::store_pace;
+use stacktack_core::direct::sources::directory_source::RemovalEvidence;
+use stacktack_core::direct::sources::update_batching;
 use stacktack_core::time::Time;
 use tokio::time::sleep;
 
@@ -160,7 +160,7 @@
                 .due(&self.router, budget, lateness, self.known(), watches);
             tokio::select! {
                 event = calls.event(patience) => return event,
-                cause = look, if may_look => self.look(cause.word(), calls),
+                cause = look, if may_look => self.look(cause.as_str(), calls),
                 () = self.router.directory_look.notified() => self.look("behind", calls),
                 () = self.router.resumed() => {
                     // What was missing may only have been unable to renew itself, and the call
@@ -201,7 +201,10 @@
         } else {
             1
         };
-        Some(store_pace::gather(sharing, &self.router.directory_budget()))
+        Some(update_batching::batch_window(
+            sharing,
+            &self.router.directory_budget(),
+        ))
     }
 
     /// A call failed, or is late. Returns when to ask again, unless peers tell what is new.
@@ -233,7 +236,7 @@
             return;
         }
         let mut change = DirectoryChange::default();
-        let gone = self.router.held_departures.borrow_mut().release();
+        let gone = self.router.held_departures.borrow_mut().take_all();
         let mut back_ends = self.router.back_ends.borrow_mut();
         for departure in gone {
             back_ends.remove(departure, &mut change);
@@ -247,9 +250,9 @@
             log::warn!(target: "directory", "back_end={id} taken=false cause=invalid_row");
         }
         let evidence = if self.is_steady(now) {
-            Evidence::Steady
+            RemovalEvidence::StoreSteady
         } else {
-            Evidence::Insufficient
+            RemovalEvidence::Insufficient
         };
         take_delta(&self.router, news.delta, news.revision, evidence);
     }
@@ -257,7 +260,7 @@
 
 /// Takes news of the directory, read as of a revision; without evidence that they are gone,
 /// entries that vanished are held.
-pub fn take_delta(router: &Router, delta: DirectoryDelta, read_at: u64, evidence: Evidence) {
+pub fn take_delta(router: &Router, delta: DirectoryDelta, read_at: u64, evidence: RemovalEvidence) {
     let now = router.now();
     let mut revision = delta.revision;
     let mut change = DirectoryChange::default();
@@ -271,15 +274,15 @@
             revision = read_at;
         }
         gone.extend(missing);
-        back_ends.on_whole(revision);
+        back_ends.on_snapshot(revision);
     }
     let changed = router.directory_changed.get().max(revision);
     router.directory_changed.set(changed);
     for entry in delta.present {
-        held.renew(&entry.id, entry.revision);
+        held.on_renewed(&entry.id, entry.revision);
         back_ends.upsert(entry, now, &mut change);
     }
-    if evidence == Evidence::Insufficient {
+    if evidence == RemovalEvidence::Insufficient {
         for departure in &gone {
             log::info!(
                 target: "directory",
@@ -289,7 +292,7 @@
             );
         }
     }
-    for departure in held.vanish(gone, evidence) {
+    for departure in held.on_missing(gone, evidence) {
         back_ends.remove(departure, &mut change);
     }
     drop(back_ends);
@@ -299,7 +302,7 @@
 fn report(router: &Router, change: &DirectoryChange, revision: u64) {
     let lists = [
         ("joined", &change.joined),
-        ("reborn", &change.reborn),
+        ("reborn", &change.restarted),
         ("leaving", &change.leaving),
         ("gone", &change.gone),
     ];
@@ -313,7 +316,7 @@
         }
     }
     router.on_vanished(&change.vanished);
-    for id in change.gone.iter().chain(&change.reborn) {
+    for id in change.gone.iter().chain(&change.restarted) {
         router.places.borrow_mut().forget_back_end(id);
     }
 }
--- a/crates/stacktack-direct/src/followers/looks.rs
+++ b/crates/stacktack-direct/src/followers/looks.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use stacktack_core::direct::sources::news_budget::NewsBudget;
-use stacktack_core::direct::sources::watch::{LookCause, Watch, WatchInputs};
+use stacktack_core::direct::sources::staleness_budget::StalenessBudget;
+use stacktack_core::direct::sources::watch::{PollCause, SourceWatch, WatchInputs};
 use tokio::time::sleep;
 
 use crate::freshness::SourceKnowledge;
@@ -12,24 +12,29 @@
 
 /// Wait for news in one call about what is known with an age. A router without peers ends its
 /// wait before it would have to look beside it: the same answer serves for both.
-pub(super) fn wait_for_news(router: &Router, budget: &NewsBudget, age: Duration) -> Duration {
+pub(super) fn wait_for_news(router: &Router, budget: &StalenessBudget, age: Duration) -> Duration {
     if router.peers.borrow().alive() == 0 {
-        budget.wait_alone(age)
+        budget.wait_without_peers(age)
     } else {
-        budget.wait(age, rand::rng().random())
+        budget.watch_wait(age, rand::rng().random())
     }
 }
 
 /// Whether peers tell what is new at the source, so that this router leaves it to them.
-pub(super) fn is_informed(router: &Router, budget: &NewsBudget, known: &SourceKnowledge) -> bool {
+pub(super) fn is_informed(
+    router: &Router,
+    budget: &StalenessBudget,
+    known: &SourceKnowledge,
+) -> bool {
     let since_learned = known.freshness().since_learned(router.now());
-    router.peers.borrow().alive() > 0 && since_learned.is_some_and(|since| since < budget.watch())
+    router.peers.borrow().alive() > 0
+        && since_learned.is_some_and(|since| since < budget.watch_period())
 }
 
 /// When to look at one source.
 #[derive(Debug)]
 pub(super) struct Looks {
-    watch: Watch,
+    watch: SourceWatch,
     /// Why the next call is a look, which does not wait for news; `None` if it is none.
     due: Option<&'static str>,
     /// Whether this router went on watching at its last answer.
@@ -40,7 +45,7 @@
     /// No look yet.
     pub(super) fn new() -> Self {
         Looks {
-            watch: Watch::new(rand::rng().random()),
+            watch: SourceWatch::new(rand::rng().random()),
             due: None,
             watches: false,
         }
@@ -51,11 +56,11 @@
     pub(super) async fn due(
         &self,
         router: &Router,
-        budget: NewsBudget,
+        budget: StalenessBudget,
         lateness: Duration,
         known: &SourceKnowledge,
         watches: bool,
-    ) -> LookCause {
+    ) -> PollCause {
         loop {
             let inputs = WatchInputs {
                 budget,
@@ -75,7 +80,7 @@
     /// The next call is a look for a cause; it is due now, and no other one beside it.
     pub(super) fn ask(&mut self, cause: &'static str, router: &Router) {
         self.due = Some(cause);
-        self.watch.on_look(rand::rng().random(), router.now());
+        self.watch.on_poll(rand::rng().random(), router.now());
     }
 
     /// Whether the call to make now is a look.
@@ -122,7 +127,7 @@
     /// Whether the call that is due now is to be made: a look, or the next one of a router that watches.
     pub(super) fn goes_on(&mut self, source: &'static str, known: &SourceKnowledge) -> bool {
         let draw = rand::rng().random();
-        let goes_on = self.is_look() || self.watch.goes_on(&known.freshness(), draw);
+        let goes_on = self.is_look() || self.watch.keeps_watching(&known.freshness(), draw);
         if !goes_on {
             self.note_watching(source, false);
         }
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
-use stacktack_core::direct::sources::departure::Evidence;
+use stacktack_core::direct::sources::directory_source::RemovalEvidence;
 use stacktack_core::time::Time;
 use tokio::time::{sleep, timeout};
 
@@ -95,7 +95,7 @@
         };
         if self
             .behind_since
-            .is_some_and(|since| now.since(since) >= budget.answer())
+            .is_some_and(|since| now.since(since) >= budget.answer_timeout())
         {
             self.behind_since = Some(now);
             look.notify_one();
@@ -221,7 +221,7 @@
     fn take_directory(&self, delta: DirectoryDelta) {
         if delta.revision > self.router.directory_revision() {
             let revision = delta.revision;
-            take_delta(&self.router, delta, revision, Evidence::Decided);
+            take_delta(&self.router, delta, revision, RemovalEvidence::PeerDecided);
         }
     }
 }
--- a/crates/stacktack-direct/src/followers/zone_drains.rs
+++ b/crates/stacktack-direct/src/followers/zone_drains.rs
@@ -42,7 +42,7 @@
             log::info!(
                 target: "zone_drain",
                 "read=store revision={} drained={} ms={}",
-                news.whole_as_of.unwrap_or(0),
+                news.snapshot_revision.unwrap_or(0),
                 news.changes.len(),
                 transfer.elapsed().as_millis(),
             );
--- a/crates/stacktack-direct/src/freshness.rs
+++ b/crates/stacktack-direct/src/freshness.rs
@@ -7,9 +7,9 @@
     KnowledgeAges, SourceRead, SourceReads, ToldAge,
 };
 use stacktack_core::direct::peers::peer_news::PeerNews;
-use stacktack_core::direct::sources::departure::RENEWAL;
+use stacktack_core::direct::sources::directory_source::RENEWAL_PERIOD;
 use stacktack_core::direct::sources::freshness::Freshness;
-use stacktack_core::direct::sources::news_budget::NewsBudget;
+use stacktack_core::direct::sources::staleness_budget::StalenessBudget;
 use stacktack_core::time::Time;
 
 use crate::router::Router;
@@ -62,28 +62,28 @@
         self.freshness.get()
     }
 
-    fn note(&self, as_of: Time, told_at: u64, budget: &NewsBudget, now: Time) -> bool {
+    fn note(&self, as_of: Time, told_at: u64, budget: &StalenessBudget, now: Time) -> bool {
         let mut freshness = self.freshness.get();
-        let newer_by = freshness.note(as_of, told_at, budget.gap(), now);
+        let newer_by = freshness.record_answer(as_of, told_at, budget.gap_threshold(), now);
         self.freshness.set(freshness);
-        let worth_telling = budget.watch().mul_f64(WORTH_TELLING);
+        let worth_telling = budget.watch_period().mul_f64(WORTH_TELLING);
         newer_by.is_some_and(|newer_by| newer_by >= worth_telling)
     }
 
     /// When an own answer that is not noted yet counts as made. It is newer than all before, also where the
     /// clock of the source stands still or was set back.
     pub(crate) fn own_told_at(&self, told_at: u64) -> u64 {
-        told_at.max(self.freshness.get().told_at() + 1)
+        told_at.max(self.freshness.get().answered_at_ms() + 1)
     }
 
     /// An own answer came.
-    fn note_own(&self, age: Duration, told_at: u64, budget: &NewsBudget, now: Time) -> bool {
+    fn note_own(&self, age: Duration, told_at: u64, budget: &StalenessBudget, now: Time) -> bool {
         let told_at = self.own_told_at(told_at);
         self.note(now - age, told_at, budget, now)
     }
 
     /// Takes what a peer tells, if this router knows as much; keeps it for when it does.
-    fn take(&self, claim: Claim, known: u64, budget: &NewsBudget, now: Time) -> bool {
+    fn take(&self, claim: Claim, known: u64, budget: &StalenessBudget, now: Time) -> bool {
         // An empty directory has no revision, and may be known all the same.
         let says_nothing = claim.revision == 0 && claim.as_of.is_none();
         if says_nothing || claim.revision < known {
@@ -103,7 +103,7 @@
     fn read(&self) -> SourceRead {
         SourceRead {
             revision: self.read_at.get(),
-            told_at: self.freshness.get().told_at(),
+            told_at: self.freshness.get().answered_at_ms(),
         }
     }
 }
@@ -150,7 +150,7 @@
     /// renewed its entry.
     pub(crate) fn directory_had_no_gap(&self) -> bool {
         let freshness = self.freshness.directory.freshness.get();
-        !freshness.had_gap_within(RENEWAL, self.now())
+        !freshness.had_gap_within(RENEWAL_PERIOD, self.now())
     }
 
     /// Whether answers about the directory come all the time, to this router or to others.
@@ -161,13 +161,13 @@
     }
 
     /// The time in which a departure has to be acted upon.
-    pub(crate) fn directory_budget(&self) -> NewsBudget {
-        NewsBudget::new(self.bounds().leave)
+    pub(crate) fn directory_budget(&self) -> StalenessBudget {
+        StalenessBudget::new(self.bounds().leave)
     }
 
     /// The time in which a configuration has to be acted upon.
-    pub(crate) fn configuration_budget(&self) -> NewsBudget {
-        NewsBudget::new(self.bounds().configuration)
+    pub(crate) fn configuration_budget(&self) -> StalenessBudget {
+        StalenessBudget::new(self.bounds().configuration)
     }
 
     /// Ages to tell peers.
--- a/crates/stacktack-direct/src/load_summary.rs
+++ b/crates/stacktack-direct/src/load_summary.rs
@@ -31,7 +31,7 @@
         let mut summary = LoadSummary::default();
         for member in members {
             summary.back_ends += 1;
-            if let Some(told) = member.load.told(now) {
+            if let Some(told) = member.load.reported(now) {
                 summary.add(member, now.since(told.at), now);
             }
         }
@@ -39,7 +39,7 @@
     }
 
     fn add(&mut self, member: &BackEnd, age: Duration, now: Time) {
-        let load = member.load.believed(now);
+        let load = member.load.estimate(now);
         self.known += 1;
         self.requests += load;
         if age < STALE {
--- a/crates/stacktack-direct/src/news.rs
+++ b/crates/stacktack-direct/src/news.rs
@@ -69,7 +69,7 @@
         );
     }
     let mut back_ends = router.back_ends.borrow_mut();
-    back_ends.take_told_loads(&news.told_loads, now);
+    back_ends.merge_reported_loads(&news.told_loads, now);
     drop(back_ends);
     for drain in &news.zone_drains {
         router.take_zone_drain(drain, "peer");
@@ -83,7 +83,7 @@
     let back_ends = router.back_ends.borrow();
     let mut places = router.places.borrow_mut();
     for (part, short) in &news.places {
-        if let Some(id) = back_ends.id_of(*short) {
+        if let Some(id) = back_ends.resolve_short_id(*short) {
             places.record(*part, id, now);
         }
     }
@@ -147,10 +147,10 @@
         told_loads: if all_loads {
             Vec::new()
         } else {
-            router.back_ends.borrow().told_loads(now)
+            router.back_ends.borrow().reported_loads(now)
         },
         suspects: router.back_ends.borrow().suspects(SUSPECTS_TOLD),
-        zone_drains: router.zone_drains.borrow().told(),
+        zone_drains: router.zone_drains.borrow().gossip(),
     }
 }
 
--- a/crates/stacktack-direct/src/ports.rs
+++ b/crates/stacktack-direct/src/ports.rs
@@ -13,8 +13,8 @@
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Response, StatusCode};
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
-use stacktack_core::direct::back_ends::work_time::WorkTime;
-use stacktack_core::direct::back_ends::zone_drain::ZoneDrainNews;
+use stacktack_core::direct::back_ends::work_time::WorkTimeFactor;
+use stacktack_core::direct::back_ends::zone_drain::ZoneDrainUpdate;
 use stacktack_core::direct::choice::prompt::PromptChain;
 use stacktack_core::direct::quarantine::digest::RequestDigest;
 use stacktack_core::direct::quarantine::StoredVerdict;
@@ -67,7 +67,7 @@
     /// Requests that can run at once.
     pub slots: u32,
     /// How long work takes there, if told.
-    pub work_time: Option<WorkTime>,
+    pub work_time: Option<WorkTimeFactor>,
 }
 
 /// What the head of a back end's answer says.
@@ -198,7 +198,7 @@
     /// Whether a configuration was there that is not valid.
     pub invalid: bool,
     /// Zones whose drain the operator asked for or took back.
-    pub zone_drains: ZoneDrainNews,
+    pub zone_drains: ZoneDrainUpdate,
     /// Roll-outs that the operator ordered.
     pub rollouts: RolloutOrderNews,
 }
@@ -207,7 +207,7 @@
     /// Whether it tells nothing: no version, and nothing of zones and roll-outs.
     pub fn is_empty(&self) -> bool {
         let zones = &self.zone_drains;
-        let no_zones = zones.changes.is_empty() && zones.whole_as_of.is_none();
+        let no_zones = zones.changes.is_empty() && zones.snapshot_revision.is_none();
         self.versions == 0 && no_zones && self.rollouts.is_empty()
     }
 }
@@ -269,7 +269,7 @@
     fn zone_drains(
         &self,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ZoneDrainNews, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<ZoneDrainUpdate, SourceError>>;
 
     /// All roll-outs that are ordered, without the configuration; none from a source that
     /// holds no orders. Whoever calls bounds the time by dropping the call.
--- a/crates/stacktack-direct/src/quarantine.rs
+++ b/crates/stacktack-direct/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::http::request;
-use stacktack_core::direct::back_ends::directory::LifeId;
+use stacktack_core::direct::back_ends::directory::InstanceId;
 use stacktack_core::direct::quarantine::digest::{RequestDigest, RequestIdentity};
 use stacktack_core::direct::quarantine::probation::select_for_probation;
 use stacktack_core::direct::quarantine::record::Treatment;
@@ -136,7 +136,7 @@
         let back_ends = router.back_ends.borrow();
         let life = back_ends
             .get(back_end)
-            .map(|known| LifeId::of(&known.entry));
+            .map(|known| InstanceId::of(&known.entry));
         let has_ended = life.is_some_and(|life| router.broken_runs.borrow().has_ended(life));
         let is_tried = self.tried.iter().any(|tried| tried == back_end);
         !has_ended && !is_tried && !router.probations.borrow().contains(back_end)
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, RngExt};
 use stacktack_core::configuration::selector::{matches_all, Requirement};
 use stacktack_core::direct::admission::PoolAdmission;
-use stacktack_core::direct::back_ends::directory::LifeId;
+use stacktack_core::direct::back_ends::directory::InstanceId;
 use stacktack_core::direct::back_ends::slow_start::KnownFleet;
 use stacktack_core::direct::back_ends::zone_drain::ZoneDrains;
 use stacktack_core::direct::back_ends::BackEnds;
@@ -25,7 +25,7 @@
 use stacktack_core::direct::request::planned_stop::PlannedStop;
 use stacktack_core::direct::request::run_times::RunTimes;
 use stacktack_core::direct::rollout::Rollouts;
-use stacktack_core::direct::sources::departure::HeldDepartures;
+use stacktack_core::direct::sources::directory_source::PendingRemovals;
 use stacktack_core::direct::traffic::configuration_changes::ConfigurationHistory;
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
 use stacktack_core::time::Time;
@@ -118,11 +118,11 @@
     ran: Cell<Time>,
     went_on: Cell<Option<Time>>,
     /// Back ends that vanished from the directory and may come back.
-    pub held_departures: RefCell<HeldDepartures>,
+    pub held_departures: RefCell<PendingRemovals>,
     /// Runs that broke off, until it is known whether their back end ended.
     pub(crate) broken_runs: RefCell<BrokenRuns>,
     /// Looks at whether back ends still accept connections.
-    pub(crate) looks: RefCell<HashMap<LifeId, Look>>,
+    pub(crate) looks: RefCell<HashMap<InstanceId, Look>>,
     /// Requests that end back ends.
     pub quarantine: RefCell<Quarantine>,
     /// Back ends that run a request on probation.
@@ -251,7 +251,7 @@
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
             && self.configuration.borrow().is_some()
-            && self.back_ends.borrow().working() > 0
+            && self.back_ends.borrow().count_accepting_work() > 0
             && !self.awaits_news()
     }
 
@@ -288,7 +288,7 @@
     /// Revision up to which the directory is known and decided.
     pub fn directory_revision(&self) -> u64 {
         let held = self.held_departures.borrow();
-        held.decided(self.directory_changed.get())
+        held.decided_revision(self.directory_changed.get())
     }
 
     /// The process runs now. What it reads may have waited for as long as it stood still before.
@@ -339,15 +339,19 @@
         let fresh = self.peers.borrow().tells_all_quickly();
         for back_end in self.back_ends.borrow_mut().iter_mut() {
             let load = loads.get(&ShortId::of(back_end.id_hash)).copied();
-            back_end.load.in_flight_elsewhere = f64::from(load.unwrap_or(0));
-            back_end.load.elsewhere_is_fresh = fresh;
+            back_end.load.in_flight_from_peers = f64::from(load.unwrap_or(0));
+            back_end.load.peer_counts_are_fresh = fresh;
         }
     }
 
     /// Age of what a back end told of its load; `None` when the peers' counts are
     /// believed instead.
     pub fn load_age(&self, back_end: &str) -> Option<Duration> {
-        self.back_ends.borrow().get(back_end)?.load.age(self.now())
+        self.back_ends
+            .borrow()
+            .get(back_end)?
+            .load
+            .reported_age(self.now())
     }
 
     /// Takes over which back ends a peer suspects.
@@ -356,7 +360,7 @@
         let mut back_ends = self.back_ends.borrow_mut();
         for back_end in back_ends.iter_mut() {
             if suspects.contains(&ShortId::of(back_end.id_hash)) {
-                let accused = back_end.on_accused(peer, now);
+                let accused = back_end.on_suspect_report(peer, now);
                 if accused {
                     log::info!(
                         target: "belief",
@@ -377,12 +381,12 @@
         let peers = self.peers.borrow();
         let now = self.now();
         let fleet = KnownFleet {
-            own: self.settings.peers.listen,
+            own_address: self.settings.peers.listen,
             peers: peers.addresses(),
             is_complete: peers.knows_fleet(now),
         };
         let mut back_ends = self.back_ends.borrow_mut();
-        let warm = back_ends.update_cold(&configuration.slow_starts, &fleet, now);
+        let warm = back_ends.update_slow_start(&configuration.slow_starts, &fleet, now);
         for id in warm {
             log::info!(target: "belief", "back_end={id} cold=false");
         }
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -112,7 +112,7 @@
             choice.selection.mean,
             choice.pool_fill_text(),
             choice.selection.rank,
-            choice.standing.word(),
+            choice.standing.as_str(),
             fetch_from.map_or_else(|| "-".to_owned(), |holder| holder.to_string()),
             self.version,
             self.router.directory_changed.get(),
--- a/crates/stacktack-direct/src/silence.rs
+++ b/crates/stacktack-direct/src/silence.rs
@@ -3,7 +3,7 @@
 //! A pause is no end: an attempt that is left although nobody may go on with the request loses an
 //! answer that might have come. So the repeat is granted first.
 
-use stacktack_core::direct::back_ends::standing::Standing;
+use stacktack_core::direct::back_ends::health::Health;
 use stacktack_core::direct::quarantine::record::Treatment;
 
 use crate::exchange::Exchange;
@@ -75,7 +75,7 @@
         let limit = (!is_under_way).then(|| self.repeat_slot_limit());
         let choice = self.select(limit);
         choice.is_some_and(|choice| {
-            choice.standing < Standing::Ejected && self.lacks_room(&choice, is_under_way).is_none()
+            choice.standing < Health::Ejected && self.lacks_room(&choice, is_under_way).is_none()
         })
     }
 }
--- a/crates/stacktack-direct/src/zone_drains.rs
+++ b/crates/stacktack-direct/src/zone_drains.rs
@@ -1,14 +1,14 @@
 //! Zones whose back ends get no requests: what the operator asked for, and what follows here.
 
 use stacktack_core::configuration::selector::{matches_all, Requirement};
-use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainNews};
+use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainUpdate};
 
 use crate::router::Router;
 
 impl Router {
     /// Takes news of drains from the operator's store.
-    pub fn take_zone_drain_news(&self, news: &ZoneDrainNews) {
-        let ended = self.zone_drains.borrow().ended(news);
+    pub fn take_zone_drain_news(&self, news: &ZoneDrainUpdate) {
+        let ended = self.zone_drains.borrow().ended_drains(news);
         for change in news.changes.iter().chain(&ended) {
             self.take_zone_drain(change, "store");
         }
@@ -16,7 +16,7 @@
 
     /// Takes what the operator asked for one zone, from a source with a fixed word.
     pub fn take_zone_drain(&self, news: &ZoneDrain, source: &'static str) {
-        if !self.zone_drains.borrow_mut().take(news) {
+        if !self.zone_drains.borrow_mut().merge(news) {
             return;
         }
         let now = self.now();
@@ -33,7 +33,7 @@
             assumed_cold = back_ends.assume_cold(&news.zone, slow_starts, now);
         }
         self.metrics
-            .record_drained_zones(self.zone_drains.borrow().drained());
+            .record_drained_zones(self.zone_drains.borrow().drained_count());
         log::info!(
             target: "zone_drain",
             "zone={} drained={} revision={} source={source} back_ends={count} assumed_cold={assumed_cold}",
@@ -49,7 +49,7 @@
     /// Whether all back ends of a pool are in zones that are drained.
     pub fn is_drained(&self, pool: &[Requirement]) -> bool {
         let zone_drains = self.zone_drains.borrow();
-        if zone_drains.drained() == 0 {
+        if zone_drains.drained_count() == 0 {
             return false;
         }
         let back_ends = self.back_ends.borrow();
--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -9,11 +9,11 @@
 
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{
-    BackEndEntry, Departure, DirectoryDelta, LifeId,
+    BackEndEntry, DirectoryDelta, InstanceId, RemovedEntry,
 };
 use stacktack_core::direct::back_ends::zone_drain::ZoneDrain;
 use stacktack_core::direct::request::attempt::AttemptFailure;
-use stacktack_core::direct::sources::departure::Evidence;
+use stacktack_core::direct::sources::directory_source::RemovalEvidence;
 use stacktack_direct::followers::take_delta;
 use stacktack_direct::router::Router;
 
@@ -33,7 +33,7 @@
     }
 }
 
-fn take(router: &Router, present: Vec<BackEndEntry>, gone: Vec<Departure>) {
+fn take(router: &Router, present: Vec<BackEndEntry>, gone: Vec<RemovedEntry>) {
     let revision = present.first().map_or(9, |entry| entry.revision);
     let delta = DirectoryDelta {
         revision,
@@ -41,14 +41,14 @@
         present,
         gone,
     };
-    take_delta(router, delta, revision, Evidence::Steady);
+    take_delta(router, delta, revision, RemovalEvidence::StoreSteady);
 }
 
 /// A router that has chosen a life of back end `a` a moment ago.
-async fn chosen() -> (Rc<Router>, LifeId) {
+async fn chosen() -> (Rc<Router>, InstanceId) {
     let router = router();
     take(&router, vec![entry(1)], Vec::new());
-    let life = LifeId::of(&entry(1));
+    let life = InstanceId::of(&entry(1));
     assert!(router.may_send("a", life));
     after(100).await;
     (router, life)
@@ -65,7 +65,7 @@
     assert!(!router.may_send("a", life), "it says that it leaves");
 
     let (router, life) = chosen().await;
-    let departure = Departure {
+    let departure = RemovedEntry {
         id: "a".to_owned(),
         revision: 2,
     };
--- a/crates/stacktack-direct/tests/configuration_in_force/main.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/main.rs
@@ -30,7 +30,7 @@
 use std::time::Duration;
 
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
-use stacktack_core::direct::sources::departure::Evidence;
+use stacktack_core::direct::sources::directory_source::RemovalEvidence;
 use stacktack_direct::followers::{take_delta, Dependency};
 use stacktack_direct::router::Router;
 use tokio::time::sleep;
@@ -263,7 +263,7 @@
             revision: 7,
             ..DirectoryDelta::default()
         };
-        take_delta(&known_at_peer, delta, 7, Evidence::Steady);
+        take_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
         after(800).await;
         assert_eq!(router.version(), 0, "the document is still on its way");
         assert_eq!(router.directory_changed.get(), 7);
--- a/crates/stacktack-direct/tests/configuration_in_force/world.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/world.rs
@@ -8,7 +8,7 @@
 
 use stacktack_core::configuration::selector::Requirement;
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
-use stacktack_core::direct::back_ends::zone_drain::ZoneDrainNews;
+use stacktack_core::direct::back_ends::zone_drain::ZoneDrainUpdate;
 use stacktack_core::direct::traffic::route::{
     Route, RouteKind, RouteTable, Target, TrafficConfiguration,
 };
@@ -195,7 +195,7 @@
             versions: documents as usize,
             configuration: (documents > 0).then(|| configuration(revision)),
             invalid: false,
-            zone_drains: ZoneDrainNews::default(),
+            zone_drains: ZoneDrainUpdate::default(),
             rollouts: RolloutOrderNews::default(),
         })
     }
@@ -214,11 +214,11 @@
     fn zone_drains(
         &self,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ZoneDrainNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<ZoneDrainUpdate, SourceError>> {
         Box::pin(async move {
-            Ok(ZoneDrainNews {
+            Ok(ZoneDrainUpdate {
                 changes: Vec::new(),
-                whole_as_of: Some(self.revision()),
+                snapshot_revision: Some(self.revision()),
             })
         })
     }
--- a/crates/stacktack-direct/tests/followers/main.rs
+++ b/crates/stacktack-direct/tests/followers/main.rs
@@ -18,7 +18,7 @@
 use stacktack_core::direct::peers::knowledge_age::{
     KnowledgeAges, SourceRead, SourceReads, ToldAge,
 };
-use stacktack_core::direct::sources::departure::Evidence;
+use stacktack_core::direct::sources::directory_source::RemovalEvidence;
 use stacktack_direct::followers::{follow_directory, take_delta, Dependency};
 use stacktack_direct::router::Router;
 
@@ -170,7 +170,12 @@
                 beside_peers(&router, 30, 100).await;
                 // The peer tells what it knows, of which this router takes the whole from it.
                 let newest = directory.newest();
-                take_delta(&router, newest.delta, newest.revision, Evidence::Decided);
+                take_delta(
+                    &router,
+                    newest.delta,
+                    newest.revision,
+                    RemovalEvidence::PeerDecided,
+                );
                 tell(router.directory_revision());
             }
         }
--- a/crates/stacktack-direct/tests/followers/scripted_directory.rs
+++ b/crates/stacktack-direct/tests/followers/scripted_directory.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use stacktack_core::configuration::selector::Labels;
-use stacktack_core::direct::back_ends::directory::{BackEndEntry, Departure, DirectoryDelta};
+use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryDelta, RemovedEntry};
 use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
 use stacktack_direct::transfer::Transfer;
 use tokio::sync::Notify;
@@ -98,7 +98,7 @@
                 entry.leaving = *row == Row::Leaving;
                 news.delta.present.push(entry);
             } else if after.is_some() {
-                news.delta.gone.push(Departure {
+                news.delta.gone.push(RemovedEntry {
                     id: id.clone(),
                     revision: *revision,
                 });
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -12,7 +12,7 @@
 use stacktack_core::direct::back_ends::directory::{
     BackEndEntry, DirectoryChange, SERVICE_LABEL, VERSION_LABEL,
 };
-use stacktack_core::direct::back_ends::suspicion::RequestRisk;
+use stacktack_core::direct::back_ends::outlier_detector::Retryability;
 use stacktack_core::direct::rollout::exposure::ExposureBound;
 use stacktack_core::direct::rollout::order::RolloutOrder;
 use stacktack_core::direct::rollout::progress::Progress;
@@ -115,7 +115,9 @@
 
 /// Back ends that a first request may go to.
 fn open(router: &Router) -> Vec<String> {
-    let mut ids = router.candidates(&[], &[], RequestRisk::Final, None).ids;
+    let mut ids = router
+        .candidates(&[], &[], Retryability::NotRetryable, None)
+        .ids;
     ids.sort();
     ids
 }
@@ -214,7 +216,8 @@
         after(100).await;
         assert_eq!(progress(&router), Some(Progress::Stopped));
         assert_eq!(open(&router), ["old"]);
-        let life = stacktack_core::direct::back_ends::directory::LifeId::of(&entry("new", "v2"));
+        let life =
+            stacktack_core::direct::back_ends::directory::InstanceId::of(&entry("new", "v2"));
         assert!(!router.may_send("new", life));
         after(60_000).await;
         store.down.set(false);
--- a/crates/stacktack-direct/tests/verdicts.rs
+++ b/crates/stacktack-direct/tests/verdicts.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stacktack_core::direct::back_ends::directory::{BackEndEntry, LifeId};
+use stacktack_core::direct::back_ends::directory::{BackEndEntry, InstanceId};
 use stacktack_core::direct::quarantine::digest::{RequestDigest, RequestIdentity};
 use stacktack_core::direct::quarantine::record::Treatment;
 use stacktack_core::direct::quarantine::StoredVerdict;
@@ -84,8 +84,8 @@
     })
 }
 
-fn life(born: u64) -> LifeId {
-    LifeId::of(&BackEndEntry {
+fn life(born: u64) -> InstanceId {
+    InstanceId::of(&BackEndEntry {
         id: "b".to_owned(),
         born,
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -14,9 +14,9 @@
 
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
+use stacktack_core::direct::back_ends::outlier_detector::Retryability;
 use stacktack_core::direct::back_ends::slow_start::SlowStart;
-use stacktack_core::direct::back_ends::suspicion::RequestRisk;
-use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainNews};
+use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainUpdate};
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
 use stacktack_direct::followers::{follow_configuration, follow_zone_drains, Dependency};
 use stacktack_direct::ports::{
@@ -73,13 +73,13 @@
         self.changed.notify_waiters();
     }
 
-    fn zone_drains(&self, after: Option<u64>) -> ZoneDrainNews {
+    fn zone_drains(&self, after: Option<u64>) -> ZoneDrainUpdate {
         let zones = self.zones.borrow();
         let told = zones.iter().filter(|(_, (revision, drained))| match after {
             Some(after) => *revision > after,
             None => *drained,
         });
-        ZoneDrainNews {
+        ZoneDrainUpdate {
             changes: told
                 .map(|(zone, (revision, drained))| ZoneDrain {
                     zone: zone.clone(),
@@ -87,7 +87,7 @@
                     revision: *revision,
                 })
                 .collect(),
-            whole_as_of: after.is_none().then_some(self.revision.get()),
+            snapshot_revision: after.is_none().then_some(self.revision.get()),
         }
     }
 
@@ -163,7 +163,7 @@
     fn zone_drains(
         &self,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ZoneDrainNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<ZoneDrainUpdate, SourceError>> {
         self.zone_reads.set(self.zone_reads.get() + 1);
         Box::pin(async move {
             common::after(4).await;
@@ -212,7 +212,7 @@
 
 /// Ids of the back ends that may get requests.
 fn open(router: &Router) -> Vec<String> {
-    let candidates = router.candidates(&[], &[], RequestRisk::Repeatable, None);
+    let candidates = router.candidates(&[], &[], Retryability::Retryable, None);
     let pairs = candidates.list.iter().zip(&candidates.ids);
     let mut open: Vec<String> = pairs
         .filter(|(candidate, _)| candidate.open)
