--- a/crates/stacktack-core/src/direct/choice/part_shares.rs
+++ b/crates/stacktack-core/src/direct/choice/part_shares.rs
@@ -26,13 +26,13 @@
 
 /// The pool that a part's requests go to.
 #[derive(Clone, Copy, Debug)]
-pub struct SharedPool {
+pub struct PoolStats {
     /// Number of its members.
     pub members: usize,
     /// Requests that one holds in the mean.
     pub mean_load: f64,
     /// Requests above the mean at which a home is passed by.
-    pub slack: f64,
+    pub spill_headroom: f64,
 }
 
 /// Parts of a router's requests to one pool of late.
@@ -44,7 +44,7 @@
 
 impl PartShares {
     /// A request with a part came.
-    pub fn note(&mut self, part: u64, now: Time) {
+    pub fn record(&mut self, part: u64, now: Time) {
         self.forget(now);
         self.seen.push_back((now, part));
         *self.counts.entry(part).or_insert(0) += 1;
@@ -71,7 +71,7 @@
 
     /// Places over which a part is spread: one, as long as all its load fits into what the bound of a home leaves
     /// above the mean, and unless the part surely has a larger share of the requests than one place should get.
-    pub fn places(&self, part: u64, pool: &SharedPool) -> usize {
+    pub fn replicas(&self, part: u64, pool: &PoolStats) -> usize {
         let count = self.counts.get(&part).copied().unwrap_or(0);
         if count < LEAST_SEEN {
             return 1;
@@ -79,7 +79,7 @@
         let count = f64::from(count);
         let share = (count - count.sqrt()) / self.seen.len().max(1) as f64;
         let members = pool.members as f64;
-        if share * members * pool.mean_load <= pool.slack {
+        if share * members * pool.mean_load <= pool.spill_headroom {
             return 1;
         }
         let places = share * members / MOST_OF_MEAN;
--- a/crates/stacktack-core/src/direct/choice/places.rs
+++ b/crates/stacktack-core/src/direct/choice/prefix_locations.rs
@@ -23,16 +23,16 @@
     /// Id of the back end.
     pub back_end: String,
     /// When a request with the part last went there.
-    pub used: Time,
+    pub last_used: Time,
 }
 
 /// Holders of prompt parts.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixPlaces {
+pub struct PrefixLocations {
     parts: HashMap<u64, Vec<Holder>>,
 }
 
-impl PrefixPlaces {
+impl PrefixLocations {
     /// A request with the part was served by a back end.
     pub fn record(&mut self, part: u64, back_end: &str, now: Time) {
         if self.parts.len() >= MAXIMUM_PARTS && !self.parts.contains_key(&part) {
@@ -47,7 +47,7 @@
             0,
             Holder {
                 back_end: back_end.to_owned(),
-                used: now,
+                last_used: now,
             },
         );
         holders.truncate(HOLDERS);
@@ -69,7 +69,7 @@
     /// Drops places that are too old.
     pub fn expire(&mut self, now: Time) {
         self.parts.retain(|_, holders| {
-            holders.retain(|holder| now.since(holder.used) < MAXIMUM_AGE);
+            holders.retain(|holder| now.since(holder.last_used) < MAXIMUM_AGE);
             !holders.is_empty()
         });
     }
--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -32,7 +32,7 @@
     /// What the router holds of it.
     pub standing: Standing,
     /// Whether it may get requests; else it only counts in the mean.
-    pub open: bool,
+    pub eligible: bool,
 }
 
 /// Bounds of the choice.
@@ -45,11 +45,11 @@
     /// Requests by which another zone has to be freer.
     pub zone_slack: f64,
     /// Full candidates that a request with a part passes by before it is refused.
-    pub full_places: usize,
+    pub max_full_candidates: usize,
     /// Places over which the request's part is spread ...
-    pub places: usize,
+    pub replicas: usize,
     /// ... and the one among them at which this request begins.
-    pub first_place: usize,
+    pub first_replica: usize,
 }
 
 /// Share of the load cap at which a candidate is passed by: what is known of
@@ -78,35 +78,35 @@
 
 impl SelectBounds {
     /// Bounds that keep loads below `load_cap` times the mean.
-    pub fn below(load_cap: f64) -> Self {
+    pub fn for_load_cap(load_cap: f64) -> Self {
         SelectBounds {
             spill_factor: (load_cap * SPILL_SHARE_OF_CAP).max(LEAST_SPILL_FACTOR),
             spill_slack: 2.0,
             zone_slack: 1.5,
-            full_places: usize::MAX,
-            places: 1,
-            first_place: 0,
+            max_full_candidates: usize::MAX,
+            replicas: 1,
+            first_replica: 0,
         }
     }
 
     /// The same for a part that is spread over places, and a request that begins at one of them.
-    pub fn spread_over(self, places: usize, first_place: usize) -> Self {
+    pub fn spread_over(self, replicas: usize, first_replica: usize) -> Self {
         SelectBounds {
-            places,
-            first_place,
+            replicas,
+            first_replica,
             ..self
         }
     }
 
     /// Requests above the mean load at which a candidate is passed by.
-    pub fn slack(&self, mean: f64) -> f64 {
+    pub fn spill_headroom(&self, mean: f64) -> f64 {
         (self.spill_factor - 1.0) * mean + self.spill_slack
     }
 
     /// The same for a pool that is full as a whole.
-    pub fn in_full_pool(self) -> Self {
+    pub fn for_full_pool(self) -> Self {
         SelectBounds {
-            full_places: PLACES_OF_A_PART,
+            max_full_candidates: PLACES_OF_A_PART,
             ..self
         }
     }
@@ -142,7 +142,7 @@
     /// which its part is spread.
     pub rank: usize,
     /// The place at which it began, for requests with a shared part.
-    pub home: Option<usize>,
+    pub start_index: Option<usize>,
 }
 
 /// Chooses for a request with a shared part.
@@ -157,15 +157,15 @@
         .map(|candidate| (score(part, candidate.id_hash), candidate))
         .collect();
     order.sort_unstable_by_key(|(score, _)| std::cmp::Reverse(*score));
-    let places = bounds.places.min(order.len());
-    order[..places].rotate_left(bounds.first_place.min(places));
+    let places = bounds.replicas.min(order.len());
+    order[..places].rotate_left(bounds.first_replica.min(places));
     let home = order.first().map(|(_, candidate)| candidate.index);
     let bound = (bounds.spill_factor * mean).max(LEAST_SPILL_FACTOR * open_mean);
     let bound = bound + bounds.spill_slack;
     let best = best_standing(open(candidates));
     let closed = candidates.len() - order.len();
     let many_closed = closed as f64 >= MANY_CLOSED * candidates.len() as f64;
-    let rank = match place_in_order(&order, best, bound, bounds.full_places) {
+    let rank = match place_in_order(&order, best, bound, bounds.max_full_candidates) {
         Some(rank) if rank > 0 && many_closed => least_loaded_near(&order, rank, best),
         Some(rank) => rank,
         None => least_loaded_rank(&order, best)?,
@@ -177,17 +177,17 @@
         limit: chosen.limit,
         mean,
         rank,
-        home,
+        start_index: home,
     })
 }
 
-/// Place of the first candidate within bound and limit. After `full_places` full ones,
+/// Place of the first candidate within bound and limit. After `max_full_candidates` full ones,
 /// the place of the first of these. `None` when no candidate is within the bound.
 fn place_in_order(
     order: &[(u64, &DirectCandidate)],
     best: Standing,
     bound: f64,
-    full_places: usize,
+    max_full_candidates: usize,
 ) -> Option<usize> {
     let mut full = 0;
     let mut first_full = None;
@@ -198,7 +198,7 @@
         if !candidate.has_room() {
             first_full.get_or_insert(rank);
             full += 1;
-            if full >= full_places {
+            if full >= max_full_candidates {
                 return first_full;
             }
         } else if candidate.load < bound {
@@ -241,7 +241,7 @@
         limit: chosen.limit,
         mean,
         rank: 0,
-        home: None,
+        start_index: None,
     })
 }
 
@@ -272,7 +272,7 @@
 
 /// Candidates that may get the request.
 fn open(candidates: &[DirectCandidate]) -> impl Iterator<Item = &DirectCandidate> {
-    candidates.iter().filter(|candidate| candidate.open)
+    candidates.iter().filter(|candidate| candidate.eligible)
 }
 
 fn mean_load<'a>(candidates: impl Iterator<Item = &'a DirectCandidate>) -> Option<f64> {
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -27,7 +27,7 @@
     order.sort_unstable_by_key(|candidate| std::cmp::Reverse(score(candidate)));
     let named = order.into_iter().take(PROBATION_BACK_ENDS);
     let mut able = named.filter(|candidate| {
-        candidate.open && candidate.standing != Standing::Ejected && is_free(candidate)
+        candidate.eligible && candidate.standing != Standing::Ejected && is_free(candidate)
     });
     able.next()
 }
--- a/crates/stacktack-core/src/direct/request/attempt.rs
+++ b/crates/stacktack-core/src/direct/request/attempt.rs
@@ -12,7 +12,7 @@
     /// No connection came up, or nothing was written: certainly not run.
     Unreached,
     /// The back end left after it was chosen and before anything was written: certainly not run.
-    Left,
+    BackEndLeft,
     /// The address belongs to another instance now: certainly not run.
     OtherInstance,
     /// The back end refused and said that it did not run the request.
@@ -22,9 +22,9 @@
     /// The connection broke after something was written.
     Broken,
     /// The answer belonged to another request.
-    Crossed,
+    MismatchedResponse,
     /// No answer within the time that an attempt is given.
-    Silent,
+    TimedOut,
 }
 
 impl AttemptFailure {
@@ -33,7 +33,7 @@
         matches!(
             self,
             AttemptFailure::Unreached
-                | AttemptFailure::Left
+                | AttemptFailure::BackEndLeft
                 | AttemptFailure::OtherInstance
                 | AttemptFailure::Rejected
         )
@@ -43,28 +43,28 @@
     pub fn counts_as_send(self) -> bool {
         !matches!(
             self,
-            AttemptFailure::Unreached | AttemptFailure::Left | AttemptFailure::OtherInstance
+            AttemptFailure::Unreached | AttemptFailure::BackEndLeft | AttemptFailure::OtherInstance
         )
     }
 
     /// Fixed word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             AttemptFailure::Unreached => "unreached",
-            AttemptFailure::Left => "left",
+            AttemptFailure::BackEndLeft => "left",
             AttemptFailure::OtherInstance => "other_instance",
             AttemptFailure::Rejected => "rejected",
             AttemptFailure::Failed => "failed",
             AttemptFailure::Broken => "broken",
-            AttemptFailure::Crossed => "crossed",
-            AttemptFailure::Silent => "silent",
+            AttemptFailure::MismatchedResponse => "crossed",
+            AttemptFailure::TimedOut => "silent",
         }
     }
 }
 
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AttemptLedger {
+pub struct AttemptHistory {
     /// Sends that arrived at a back end.
     pub sends: u32,
     /// Tries that reached nobody of the pool.
@@ -78,9 +78,9 @@
 /// Tries that reach nobody before a request is given up.
 const MAXIMUM_UNREACHED: u32 = 4;
 
-impl AttemptLedger {
+impl AttemptHistory {
     /// Counts an attempt that failed.
-    pub fn count(&mut self, failure: AttemptFailure) {
+    pub fn record(&mut self, failure: AttemptFailure) {
         if failure.counts_as_send() {
             self.sends += 1;
         } else {
--- a/crates/stacktack-core/src/direct/request/budget.rs
+++ b/crates/stacktack-core/src/direct/request/budget.rs
@@ -37,7 +37,7 @@
 
 /// The budget of one pool at one router.
 #[derive(Clone, Debug)]
-pub struct SharedRetryBudget {
+pub struct PoolRetryBudget {
     bound: BudgetBound,
     /// Part of a repeat that is earned already, below one.
     part: f64,
@@ -45,11 +45,11 @@
     earned: VecDeque<Time>,
 }
 
-impl SharedRetryBudget {
+impl PoolRetryBudget {
     /// A budget that begins with `part` of a repeat, drawn evenly from 0 to 1. Many routers
     /// with few requests each then earn as much together as one router with all of them.
     pub fn new(bound: BudgetBound, part: f64) -> Self {
-        SharedRetryBudget {
+        PoolRetryBudget {
             bound,
             part,
             earned: VecDeque::new(),
@@ -78,7 +78,7 @@
     }
 
     /// Repeated sends that can be spent now.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.earned.len()
     }
 
--- a/crates/stacktack-core/src/direct/request/events.rs
+++ b/crates/stacktack-core/src/direct/request/events.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether an unfinished event is held.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.held.is_empty()
     }
 
--- a/crates/stacktack-core/src/direct/request/planned_stop.rs
+++ b/crates/stacktack-core/src/direct/request/planned_stop.rs
@@ -13,7 +13,7 @@
 use crate::time::Time;
 
 /// Time after a stop signal in which callers are still sent here: whoever sends them has to notice first.
-pub const LOOK_AWAY: Duration = Duration::from_millis(2600);
+pub const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2600);
 
 /// Time that the last bytes of answers are given to leave.
 const FLUSH: Duration = Duration::from_millis(200);
@@ -33,36 +33,36 @@
 
 /// What decides whether a request is taken after the signal.
 #[derive(Clone, Copy, Debug)]
-pub struct StopRequest {
+pub struct RequestTiming {
     /// When its caller or its route gives it up.
-    pub limit: Time,
+    pub deadline: Time,
     /// Longest run of its route of late; `None` if nothing is known.
     pub longest_run: Option<Duration>,
 }
 
 /// Whether a request is taken after the signal, and by what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopDecision {
+pub enum StopAdmission {
     /// Its own limit lies before the end.
-    FitsByLimit,
+    FitsByDeadline,
     /// Requests of its route were done sooner than that of late.
-    FitsByExperience,
+    FitsByRecentRuns,
     /// Its answer may not be whole before the end.
     TooLong,
 }
 
-impl StopDecision {
+impl StopAdmission {
     /// Whether the request is taken.
-    pub fn is_taken(self) -> bool {
-        self != StopDecision::TooLong
+    pub fn is_admitted(self) -> bool {
+        self != StopAdmission::TooLong
     }
 
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            StopDecision::FitsByLimit => "limit",
-            StopDecision::FitsByExperience => "experience",
-            StopDecision::TooLong => "too_long",
+            StopAdmission::FitsByDeadline => "limit",
+            StopAdmission::FitsByRecentRuns => "experience",
+            StopAdmission::TooLong => "too_long",
         }
     }
 }
@@ -78,7 +78,7 @@
 
     /// The grace was set anew. A longer one does not count: whoever stops the process may have begun to
     /// count with the one before.
-    pub fn shorten(&mut self, grace: Duration) {
+    pub fn shorten_grace(&mut self, grace: Duration) {
         self.end = self.end.min(PlannedStop::new(self.begun, grace).end);
     }
 
@@ -93,41 +93,41 @@
     }
 
     /// When the last answers have to begin, so that they are whole at the end.
-    pub fn answers_due(&self) -> Time {
+    pub fn response_deadline(&self) -> Time {
         self.end - FLUSH
     }
 
     /// Until when callers are still sent here, or until the end, if that is sooner.
-    pub fn looked_away(&self) -> Time {
-        (self.begun + LOOK_AWAY).min(self.end)
+    pub fn deregistered_at(&self) -> Time {
+        (self.begun + DEREGISTRATION_DELAY).min(self.end)
     }
 
     /// Whether a request is taken now.
-    pub fn decide(&self, request: &StopRequest, now: Time) -> StopDecision {
-        let due = self.answers_due();
-        if request.limit <= due {
-            return StopDecision::FitsByLimit;
+    pub fn decide(&self, request: &RequestTiming, now: Time) -> StopAdmission {
+        let due = self.response_deadline();
+        if request.deadline <= due {
+            return StopAdmission::FitsByDeadline;
         }
-        if now < self.looked_away() && self.likely_fits(request, now) {
-            StopDecision::FitsByExperience
+        if now < self.deregistered_at() && self.likely_fits(request, now) {
+            StopAdmission::FitsByRecentRuns
         } else {
-            StopDecision::TooLong
+            StopAdmission::TooLong
         }
     }
 
     /// Whether a request that was taken is worth another attempt: its answer has time to become whole.
-    pub fn may_try_again(&self, request: &StopRequest, now: Time) -> bool {
-        request.limit <= self.answers_due() || self.likely_fits(request, now)
+    pub fn may_retry(&self, request: &RequestTiming, now: Time) -> bool {
+        request.deadline <= self.response_deadline() || self.likely_fits(request, now)
     }
 
-    fn likely_fits(&self, request: &StopRequest, now: Time) -> bool {
-        now + request.longest_run.unwrap_or_default() < self.answers_due()
+    fn likely_fits(&self, request: &RequestTiming, now: Time) -> bool {
+        now + request.longest_run.unwrap_or_default() < self.response_deadline()
     }
 
     /// When the process that follows this one is likely to take requests, where the last answers take as
     /// long as the longest of late.
-    pub fn successor_at(&self, longest_run: Option<Duration>) -> Time {
-        let done = self.looked_away() + longest_run.unwrap_or_default();
+    pub fn successor_ready_at(&self, longest_run: Option<Duration>) -> Time {
+        let done = self.deregistered_at() + longest_run.unwrap_or_default();
         done.min(self.end) + RESTART
     }
 }
--- a/crates/stacktack-core/tests/admission/world.rs
+++ b/crates/stacktack-core/tests/admission/world.rs
@@ -305,12 +305,12 @@
             },
             same_zone: true,
             standing: Standing::Good,
-            open: true,
+            eligible: true,
         };
         let candidates: Vec<DirectCandidate> = reports.iter().enumerate().map(candidate).collect();
-        let mut bounds = SelectBounds::below(2.0);
+        let mut bounds = SelectBounds::for_load_cap(2.0);
         if pool.is_some_and(|pool| pool.is_full()) {
-            bounds = bounds.in_full_pool();
+            bounds = bounds.for_full_pool();
         }
         let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
         let answer = pool.map(|pool| admission.ask(request, pool, fleet, now));
--- a/crates/stacktack-core/tests/back_end_beliefs.rs
+++ b/crates/stacktack-core/tests/back_end_beliefs.rs
@@ -144,7 +144,7 @@
 
 #[test]
 fn the_former_home_of_a_part_is_its_likely_holder() {
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let ids = ["a", "b", "c", "d", "e"];
     let before = back_ends(&ids[..4]);
     let after = back_ends(&ids);
@@ -161,7 +161,7 @@
                     limit: f64::INFINITY,
                     same_zone: true,
                     standing: Standing::Good,
-                    open: true,
+                    eligible: true,
                 })
                 .collect();
             let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
--- a/crates/stacktack-core/tests/closed_members.rs
+++ b/crates/stacktack-core/tests/closed_members.rs
@@ -12,7 +12,7 @@
 use stacktack_core::direct::choice::select::{
     select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
 };
-use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptLedger};
+use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptHistory};
 use stacktack_core::direct::traffic::route::RouteKind;
 use stacktack_core::time::Time;
 
@@ -26,7 +26,7 @@
             limit: 80.0,
             same_zone: true,
             standing: Standing::Good,
-            open: index % nth != 0,
+            eligible: index % nth != 0,
         })
         .collect()
 }
@@ -34,7 +34,7 @@
 #[test]
 fn nothing_goes_to_a_closed_member() {
     let pool = pool(12, |index| if index % 4 == 0 { 0.0 } else { 9.0 }, 4);
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..400 {
         let by_part = select_by_affinity(&pool, part, &bounds).expect("chosen");
         let by_load = select_by_load(&pool, part, &bounds).expect("chosen");
@@ -48,7 +48,7 @@
 #[test]
 fn where_all_are_closed_nothing_is_chosen() {
     let pool = pool(6, |_| 1.0, 1);
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     assert_eq!(select_by_affinity(&pool, 7, &bounds), None);
     assert_eq!(select_by_load(&pool, 7, &bounds), None);
 }
@@ -58,7 +58,7 @@
 #[test]
 fn affinity_holds_while_half_of_the_pool_is_closed() {
     let pool = pool(8, |index| if index % 2 == 0 { 0.0 } else { 40.0 }, 2);
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..200 {
         let chosen = select_by_affinity(&pool, part, &bounds).expect("chosen");
         assert_eq!(chosen.rank, 0);
@@ -79,12 +79,16 @@
     let all_open: Vec<DirectCandidate> = closed
         .iter()
         .map(|candidate| DirectCandidate {
-            open: true,
-            load: if candidate.open { candidate.load } else { 9.0 },
+            eligible: true,
+            load: if candidate.eligible {
+                candidate.load
+            } else {
+                9.0
+            },
             ..*candidate
         })
         .collect();
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let mean_of_spilled = |pool: &[DirectCandidate]| {
         let chosen = (0..600).filter_map(|part| select_by_affinity(pool, part, &bounds));
         let spilled: Vec<f64> = chosen
@@ -139,10 +143,10 @@
 
 #[test]
 fn a_misdirected_try_is_repeated_out_of_the_budget() {
-    let mut ledger = AttemptLedger::default();
-    ledger.count(AttemptFailure::Unreached);
+    let mut ledger = AttemptHistory::default();
+    ledger.record(AttemptFailure::Unreached);
     assert!(!ledger.has_arrived());
-    ledger.count(AttemptFailure::OtherInstance);
+    ledger.record(AttemptFailure::OtherInstance);
     assert!(ledger.has_arrived());
     assert!(!ledger.may_have_run);
     assert!(ledger.may_send_again(RouteKind::Once, 1), "it has not run");
@@ -157,11 +161,11 @@
     let all_open: Vec<DirectCandidate> = few_closed
         .iter()
         .map(|candidate| DirectCandidate {
-            open: true,
+            eligible: true,
             ..*candidate
         })
         .collect();
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..200 {
         let chosen = select_by_affinity(&few_closed, part, &bounds).expect("chosen");
         let with_all = select_by_affinity(&all_open, part, &bounds).expect("chosen");
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -14,7 +14,7 @@
 use stacktack_core::direct::choice::select::{
     is_home, select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
 };
-use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptLedger};
+use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptHistory};
 use stacktack_core::direct::request::events::EventSplitter;
 use stacktack_core::direct::traffic::route::{
     CallerLimits, KeyRing, Route, RouteKind, RouteTable, Target, Tenant, TrafficConfiguration,
@@ -116,12 +116,12 @@
     let uncertain = [
         AttemptFailure::Failed,
         AttemptFailure::Broken,
-        AttemptFailure::Crossed,
-        AttemptFailure::Silent,
+        AttemptFailure::MismatchedResponse,
+        AttemptFailure::TimedOut,
     ];
     for failure in uncertain {
-        let mut ledger = AttemptLedger::default();
-        ledger.count(failure);
+        let mut ledger = AttemptHistory::default();
+        ledger.record(failure);
         assert!(!ledger.may_send_again(RouteKind::Once, 9), "{failure:?}");
         assert!(!ledger.may_send_again(RouteKind::Stream, 9), "{failure:?}");
         assert!(
@@ -134,11 +134,11 @@
 
 #[test]
 fn certain_failures_leave_a_request_free_within_its_attempts() {
-    let mut ledger = AttemptLedger::default();
-    ledger.count(AttemptFailure::Unreached);
-    ledger.count(AttemptFailure::OtherInstance);
+    let mut ledger = AttemptHistory::default();
+    ledger.record(AttemptFailure::Unreached);
+    ledger.record(AttemptFailure::OtherInstance);
     assert!(ledger.may_send_again(RouteKind::Once, 1));
-    ledger.count(AttemptFailure::Rejected);
+    ledger.record(AttemptFailure::Rejected);
     assert!(!ledger.may_send_again(RouteKind::Once, 1));
     assert!(ledger.may_send_again(RouteKind::Once, 2));
     assert!(!ledger.may_have_run);
@@ -146,10 +146,10 @@
 
 #[test]
 fn tries_that_reach_nobody_end() {
-    let mut ledger = AttemptLedger::default();
+    let mut ledger = AttemptHistory::default();
     let mut tries = 0;
     while ledger.may_send_again(RouteKind::Once, 1) {
-        ledger.count(AttemptFailure::Unreached);
+        ledger.record(AttemptFailure::Unreached);
         tries += 1;
         assert!(tries < 10);
     }
@@ -171,7 +171,7 @@
         }
         assert_eq!(passed, stream);
         assert_eq!(splitter.last_id(), Some("3"));
-        assert!(!splitter.is_torn());
+        assert!(!splitter.has_partial_event());
     }
 }
 
@@ -180,7 +180,7 @@
     let mut splitter = EventSplitter::default();
     let passed = splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
     assert_eq!(&passed[..], b"id: 7\ndata: a\n\n");
-    assert!(splitter.is_torn());
+    assert!(splitter.has_partial_event());
     splitter.discard();
     assert_eq!(splitter.last_id(), Some("7"));
     assert_eq!(
@@ -211,13 +211,13 @@
         limit: f64::INFINITY,
         same_zone: true,
         standing: Standing::Good,
-        open: true,
+        eligible: true,
     }
 }
 
 #[test]
 fn routers_agree_on_the_home_of_a_part_whatever_their_order() {
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let candidates: Vec<_> = (0..8).map(|index| candidate(index, 1.0)).collect();
     let mut turned = candidates.clone();
     turned.reverse();
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_loaded_home_is_passed_by_and_a_bad_standing_too() {
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let mut candidates: Vec<_> = (0..8).map(|index| candidate(index, 1.0)).collect();
     let home = select_by_affinity(&candidates, 5, &bounds)
         .expect("chosen")
@@ -254,7 +254,7 @@
     candidates[home].load = 30.0;
     let spilled = select_by_affinity(&candidates, 5, &bounds).expect("chosen");
     assert_ne!(spilled.index, home);
-    assert_eq!(spilled.home, Some(home));
+    assert_eq!(spilled.start_index, Some(home));
     candidates[home].load = 1.0;
     candidates[home].standing = Standing::Ejected;
     let avoided = select_by_affinity(&candidates, 5, &bounds).expect("chosen");
@@ -268,7 +268,7 @@
 
 #[test]
 fn the_own_zone_is_used_until_another_is_clearly_freer() {
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let mut candidates = vec![candidate(0, 2.0), candidate(1, 1.0)];
     candidates[1].same_zone = false;
     let chosen = |candidates: &[DirectCandidate]| {
@@ -300,8 +300,8 @@
             .collect();
         select_by_affinity(&candidates, 77, &bounds).expect("chosen")
     };
-    let with_room = SelectBounds::below(2.0);
-    let full_pool = with_room.in_full_pool();
+    let with_room = SelectBounds::for_load_cap(2.0);
+    let full_pool = with_room.for_full_pool();
     for bounds in [with_room, full_pool] {
         for full in [0, 3] {
             let chosen = choose(full, bounds);
@@ -350,7 +350,7 @@
 
 #[test]
 fn the_spill_bound_follows_the_load_cap() {
-    let factor = |cap| SelectBounds::below(cap).spill_factor;
+    let factor = |cap| SelectBounds::for_load_cap(cap).spill_factor;
     assert!((factor(2.0) - 1.5).abs() < 1e-9);
     assert!(factor(1.6) < 1.6);
     assert!(factor(1.0) > 1.0, "somebody has to take the work");
--- a/crates/stacktack-core/tests/part_shares.rs
+++ b/crates/stacktack-core/tests/part_shares.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stacktack_core::direct::back_ends::standing::Standing;
-use stacktack_core::direct::choice::part_shares::{PartShares, SharedPool};
+use stacktack_core::direct::choice::part_shares::{PartShares, PoolStats};
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
 use stacktack_core::time::Time;
 
@@ -12,15 +12,15 @@
 const HOT: u64 = 1;
 
 /// A pool of which a home is passed by at one and a half times the mean and two.
-fn pool_of(members: usize, mean_load: f64) -> SharedPool {
-    SharedPool {
+fn pool_of(members: usize, mean_load: f64) -> PoolStats {
+    PoolStats {
         members,
         mean_load,
-        slack: SelectBounds::below(2.0).slack(mean_load),
+        spill_headroom: SelectBounds::for_load_cap(2.0).spill_headroom(mean_load),
     }
 }
 
-fn large() -> SharedPool {
+fn large() -> PoolStats {
     pool_of(MEMBERS, 5.0)
 }
 
@@ -37,7 +37,7 @@
         } else {
             100 + number
         };
-        shares.note(part, at(number * 10));
+        shares.record(part, at(number * 10));
     }
     shares
 }
@@ -45,24 +45,24 @@
 #[test]
 fn a_part_that_few_requests_have_stays_at_its_home() {
     let shares = shares(4, 100);
-    assert_eq!(shares.places(101, &large()), 1);
-    assert_eq!(shares.places(7, &large()), 1, "never seen");
-    assert_eq!(PartShares::default().places(HOT, &large()), 1);
+    assert_eq!(shares.replicas(101, &large()), 1);
+    assert_eq!(shares.replicas(7, &large()), 1, "never seen");
+    assert_eq!(PartShares::default().replicas(HOT, &large()), 1);
 }
 
 /// Where a router gets few requests two of them have the same part by chance, and each further place reads it again.
 #[test]
 fn two_of_a_dozen_requests_do_not_spread_a_part() {
-    assert_eq!(shares(6, 12).places(HOT, &large()), 1);
-    assert!(shares(4, 12).places(HOT, &large()) > 1);
+    assert_eq!(shares(6, 12).replicas(HOT, &large()), 1);
+    assert!(shares(4, 12).replicas(HOT, &large()) > 1);
 }
 
 /// A quarter of the requests is the load of 45 of 180 members.
 #[test]
 fn a_part_that_many_requests_have_is_spread_by_its_share() {
-    assert!(shares(4, 100).places(HOT, &large()) > 45);
-    assert!(shares(4, 100).places(HOT, &pool_of(6, 8.0)) <= 6);
-    let rarer = shares(20, 100).places(HOT, &large());
+    assert!(shares(4, 100).replicas(HOT, &large()) > 45);
+    assert!(shares(4, 100).replicas(HOT, &pool_of(6, 8.0)) <= 6);
+    let rarer = shares(20, 100).replicas(HOT, &large());
     assert!((2..45).contains(&rarer), "{rarer}");
 }
 
@@ -70,19 +70,19 @@
 #[test]
 fn a_part_whose_load_fits_stays_at_its_home() {
     let all = shares(1, 100);
-    assert_eq!(all.places(HOT, &pool_of(2, 0.0)), 1);
-    assert_eq!(all.places(HOT, &pool_of(2, 0.5)), 1);
-    assert!(all.places(HOT, &pool_of(2, 8.0)) > 1);
+    assert_eq!(all.replicas(HOT, &pool_of(2, 0.0)), 1);
+    assert_eq!(all.replicas(HOT, &pool_of(2, 0.5)), 1);
+    assert!(all.replicas(HOT, &pool_of(2, 8.0)) > 1);
     let share = shares(4, 100);
-    assert_eq!(share.places(HOT, &pool_of(MEMBERS, 0.05)), 1);
-    assert!(share.places(HOT, &large()) > 1);
+    assert_eq!(share.replicas(HOT, &pool_of(MEMBERS, 0.05)), 1);
+    assert!(share.replicas(HOT, &large()) > 1);
 }
 
 #[test]
 fn a_part_that_cooled_down_is_back_at_its_home() {
     let mut shares = shares(4, 100);
-    shares.note(2, at(10_000));
-    assert_eq!(shares.places(HOT, &large()), 1);
+    shares.record(2, at(10_000));
+    assert_eq!(shares.replicas(HOT, &large()), 1);
 }
 
 fn pool(loads: &[f64]) -> Vec<DirectCandidate> {
@@ -93,7 +93,7 @@
         limit: f64::INFINITY,
         same_zone: true,
         standing: Standing::Good,
-        open: true,
+        eligible: true,
     };
     loads.iter().enumerate().map(candidate).collect()
 }
@@ -102,12 +102,12 @@
 #[test]
 fn places_of_a_part_are_the_first_in_its_order() {
     let pool = pool(&[3.0; 12]);
-    let bounds = SelectBounds::below(2.0);
+    let bounds = SelectBounds::for_load_cap(2.0);
     let begun_at = |places: usize| -> BTreeSet<usize> {
         let chosen = (0..places).map(|first| {
             let bounds = bounds.spread_over(places, first);
             let chosen = select_by_affinity(&pool, HOT, &bounds).expect("chosen");
-            assert_eq!((chosen.rank, chosen.home), (0, Some(chosen.index)));
+            assert_eq!((chosen.rank, chosen.start_index), (0, Some(chosen.index)));
             chosen.index
         });
         chosen.collect()
@@ -122,9 +122,9 @@
 #[test]
 fn a_part_is_spread_over_the_members_that_are_open() {
     let mut pool = pool(&[3.0; 4]);
-    pool[0].open = false;
+    pool[0].eligible = false;
     for first in 0..4 {
-        let bounds = SelectBounds::below(2.0).spread_over(4, first);
+        let bounds = SelectBounds::for_load_cap(2.0).spread_over(4, first);
         let chosen = select_by_affinity(&pool, HOT, &bounds).expect("chosen");
         assert_ne!(chosen.index, 0);
     }
@@ -133,7 +133,7 @@
 #[test]
 fn a_full_place_gives_way_to_the_next_one() {
     let all = pool(&[3.0; 6]);
-    let bounds = SelectBounds::below(2.0).spread_over(3, 1);
+    let bounds = SelectBounds::for_load_cap(2.0).spread_over(3, 1);
     let second = select_by_affinity(&all, HOT, &bounds).expect("chosen");
     let mut loads = [3.0; 6];
     loads[second.index] = 60.0;
--- a/crates/stacktack-core/tests/passed_by_members/world.rs
+++ b/crates/stacktack-core/tests/passed_by_members/world.rs
@@ -8,7 +8,7 @@
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
 use stacktack_core::direct::back_ends::load::BackEndLoad;
 use stacktack_core::direct::back_ends::standing::Standing;
-use stacktack_core::direct::choice::part_shares::{PartShares, SharedPool};
+use stacktack_core::direct::choice::part_shares::{PartShares, PoolStats};
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
 use stacktack_core::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
 use stacktack_core::time::Time;
@@ -201,15 +201,15 @@
     }
 
     fn spread(&mut self, router: usize, part: u64, mean_load: f64) -> SelectBounds {
-        let bounds = SelectBounds::below(MULTIPLE);
-        let pool = SharedPool {
+        let bounds = SelectBounds::for_load_cap(MULTIPLE);
+        let pool = PoolStats {
             members: self.plan.back_ends,
             mean_load,
-            slack: bounds.slack(mean_load),
+            spill_headroom: bounds.spill_headroom(mean_load),
         };
         let shares = &mut self.shares[router];
-        shares.note(part, self.queue.now);
-        let places = shares.places(part, &pool);
+        shares.record(part, self.queue.now);
+        let places = shares.replicas(part, &pool);
         bounds.spread_over(places, self.place_draw.random_range(0..places))
     }
 
@@ -235,7 +235,7 @@
                 limit: f64::INFINITY,
                 same_zone: true,
                 standing: Standing::Good,
-                open: true,
+                eligible: true,
             })
             .collect();
         let mean = candidates
@@ -244,7 +244,7 @@
             .sum::<f64>();
         let bounds = self.spread(router, part, mean / candidates.len() as f64);
         let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
-        if let (Some(home), true) = (chosen.home, chosen.rank > 0) {
+        if let (Some(home), true) = (chosen.start_index, chosen.rank > 0) {
             let mean = f64::from(self.held.iter().sum::<u32>()) / self.plan.back_ends as f64;
             self.measured.passed += 1;
             self.measured.wrongly += usize::from(f64::from(self.held[home]) < mean);
--- a/crates/stacktack-core/tests/planned_stop.rs
+++ b/crates/stacktack-core/tests/planned_stop.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::request::planned_stop::{
-    PlannedStop, StopDecision, StopRequest, LOOK_AWAY,
+    PlannedStop, RequestTiming, StopAdmission, DEREGISTRATION_DELAY,
 };
 use stacktack_core::direct::request::run_times::{RunId, RunTimes};
 use stacktack_core::time::Time;
@@ -20,10 +20,10 @@
     Time(0) + milliseconds(count)
 }
 
-fn decide(limit: Duration, longest_run: Option<Duration>, now: Time) -> StopDecision {
+fn decide(limit: Duration, longest_run: Option<Duration>, now: Time) -> StopAdmission {
     let stop = PlannedStop::new(at(0), GRACE);
-    let request = StopRequest {
-        limit: now + limit,
+    let request = RequestTiming {
+        deadline: now + limit,
         longest_run,
     };
     stop.decide(&request, now)
@@ -33,72 +33,72 @@
 fn what_is_given_up_before_the_end_is_taken_until_it_no_longer_fits() {
     let limit = milliseconds(3000);
     let slow = Some(milliseconds(9000));
-    assert_eq!(decide(limit, slow, at(0)), StopDecision::FitsByLimit);
-    assert_eq!(decide(limit, slow, at(4700)), StopDecision::FitsByLimit);
-    assert_eq!(decide(limit, slow, at(4701)), StopDecision::TooLong);
+    assert_eq!(decide(limit, slow, at(0)), StopAdmission::FitsByDeadline);
+    assert_eq!(decide(limit, slow, at(4700)), StopAdmission::FitsByDeadline);
+    assert_eq!(decide(limit, slow, at(4701)), StopAdmission::TooLong);
 }
 
 #[test]
 fn what_may_last_longer_is_taken_by_the_longest_run_while_callers_are_sent_here() {
     let limit = milliseconds(10_000);
     let usual = Some(milliseconds(4000));
-    assert_eq!(decide(limit, usual, at(0)), StopDecision::FitsByExperience);
+    assert_eq!(decide(limit, usual, at(0)), StopAdmission::FitsByRecentRuns);
     assert_eq!(
         decide(limit, usual, at(2599)),
-        StopDecision::FitsByExperience
+        StopAdmission::FitsByRecentRuns
     );
-    assert_eq!(decide(limit, usual, at(2600)), StopDecision::TooLong);
+    assert_eq!(decide(limit, usual, at(2600)), StopAdmission::TooLong);
     let slow = Some(milliseconds(6000));
     assert_eq!(
         decide(limit, slow, at(1699)),
-        StopDecision::FitsByExperience
+        StopAdmission::FitsByRecentRuns
     );
-    assert_eq!(decide(limit, slow, at(1700)), StopDecision::TooLong);
+    assert_eq!(decide(limit, slow, at(1700)), StopAdmission::TooLong);
     assert_eq!(
         decide(limit, None, at(2599)),
-        StopDecision::FitsByExperience
+        StopAdmission::FitsByRecentRuns
     );
 }
 
 #[test]
 fn settings_shorten_the_grace_of_a_stop_and_do_not_lengthen_it() {
     let mut stop = PlannedStop::new(at(0), GRACE);
-    stop.shorten(milliseconds(20_000));
+    stop.shorten_grace(milliseconds(20_000));
     assert_eq!(stop, PlannedStop::new(at(0), GRACE));
-    stop.shorten(milliseconds(5000));
+    stop.shorten_grace(milliseconds(5000));
     assert_eq!(stop.end(), at(4900));
-    stop.shorten(milliseconds(50));
+    stop.shorten_grace(milliseconds(50));
     assert_eq!(stop.end(), at(0));
-    let request = StopRequest {
-        limit: at(100),
+    let request = RequestTiming {
+        deadline: at(100),
         longest_run: None,
     };
-    assert_eq!(stop.decide(&request, at(0)), StopDecision::TooLong);
+    assert_eq!(stop.decide(&request, at(0)), StopAdmission::TooLong);
 }
 
 #[test]
 fn another_attempt_needs_time_for_its_answer() {
     let stop = PlannedStop::new(at(0), GRACE);
-    let request = |longest_run| StopRequest {
-        limit: at(12_000),
+    let request = |longest_run| RequestTiming {
+        deadline: at(12_000),
         longest_run,
     };
     let usual = request(Some(milliseconds(1000)));
-    assert!(stop.may_try_again(&usual, at(6600)));
-    assert!(!stop.may_try_again(&usual, at(6700)));
-    let short = StopRequest {
-        limit: at(7700),
+    assert!(stop.may_retry(&usual, at(6600)));
+    assert!(!stop.may_retry(&usual, at(6700)));
+    let short = RequestTiming {
+        deadline: at(7700),
         ..usual
     };
-    assert!(stop.may_try_again(&short, at(7600)));
+    assert!(stop.may_retry(&short, at(7600)));
 }
 
 /// Callers were told to come back after 11 s, where the process ended after 3 s.
 #[test]
 fn a_successor_is_expected_soon_after_the_end_at_the_latest() {
     let stop = PlannedStop::new(at(0), GRACE);
-    let after_runs = |usual| stop.successor_at(Some(milliseconds(usual)));
-    assert_eq!(stop.successor_at(None), at(3300));
+    let after_runs = |usual| stop.successor_ready_at(Some(milliseconds(usual)));
+    assert_eq!(stop.successor_ready_at(None), at(3300));
     assert_eq!(after_runs(2000), at(5300));
     assert_eq!(after_runs(60_000), at(8600));
 }
@@ -157,11 +157,11 @@
     fn offer(&mut self, kind: usize, takes: Duration, now: Time) -> bool {
         let times = &self.times[kind];
         let taken = self.stop.is_none_or(|stop| {
-            let request = StopRequest {
-                limit: now + KINDS[kind].limit,
+            let request = RequestTiming {
+                deadline: now + KINDS[kind].limit,
                 longest_run: times.longest(now),
             };
-            stop.decide(&request, now).is_taken()
+            stop.decide(&request, now).is_admitted()
         });
         if !taken {
             return false;
@@ -210,7 +210,7 @@
                 for run in router.under_way.drain(..) {
                     let cut = match run.taken {
                         taken if taken < signal => &mut outcome.cut_of_before,
-                        taken if taken < stop.looked_away() => &mut outcome.cut_while_sent,
+                        taken if taken < stop.deregistered_at() => &mut outcome.cut_while_sent,
                         _ => &mut outcome.cut_of_later,
                     };
                     *cut += 1;
@@ -225,7 +225,7 @@
                 let takes = (KINDS[kind].fixed + more).mul_f64(factor);
                 if router.offer(kind, takes, now) && now >= signal {
                     outcome.taken_after_signal += 1;
-                    let late = now >= signal + LOOK_AWAY;
+                    let late = now >= signal + DEREGISTRATION_DELAY;
                     outcome.short_taken_late += usize::from(late && kind == 2);
                 }
             }
--- a/crates/stacktack-core/tests/quarantine/world.rs
+++ b/crates/stacktack-core/tests/quarantine/world.rs
@@ -413,7 +413,7 @@
                 } else {
                     Standing::Ejected
                 },
-                open: true,
+                eligible: true,
             })
             .collect();
         select_for_probation(&candidates, digest, |_| true).map(|chosen| chosen.index)
--- a/crates/stacktack-core/tests/retry_budget.rs
+++ b/crates/stacktack-core/tests/retry_budget.rs
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::peers::peer_news::{OwnNews, ZoneHash};
 use stacktack_core::direct::peers::Peers;
-use stacktack_core::direct::request::budget::{BudgetBound, SharedRetryBudget};
+use stacktack_core::direct::request::budget::{BudgetBound, PoolRetryBudget};
 use stacktack_core::time::Time;
 
 const BOUND: BudgetBound = BudgetBound {
@@ -67,7 +67,7 @@
 /// depend on it.
 struct Router {
     peers: Peers,
-    budget: SharedRetryBudget,
+    budget: PoolRetryBudget,
 }
 
 impl Router {
@@ -83,7 +83,7 @@
                 BYTES_PER_SECOND,
                 now,
             ),
-            budget: SharedRetryBudget::new(BOUND, draw.random()),
+            budget: PoolRetryBudget::new(BOUND, draw.random()),
         }
     }
 
@@ -253,8 +253,8 @@
 #[test]
 fn repeats_stay_within_the_ratio_in_every_window() {
     let mut draw = ChaCha8Rng::seed_from_u64(7);
-    let mut budgets: Vec<SharedRetryBudget> = (0..4)
-        .map(|_| SharedRetryBudget::new(BOUND, draw.random()))
+    let mut budgets: Vec<PoolRetryBudget> = (0..4)
+        .map(|_| PoolRetryBudget::new(BOUND, draw.random()))
         .collect();
     let mut seen = Seen::default();
     for tick in 0..6000 {
@@ -277,11 +277,11 @@
 fn what_was_earned_can_be_spent_for_one_window() {
     let start = Time(1_000_000_000);
     let earn = || {
-        let mut budget = SharedRetryBudget::new(BOUND, 0.5);
+        let mut budget = PoolRetryBudget::new(BOUND, 0.5);
         (0..20).for_each(|_| budget.count_request(start));
         budget
     };
-    let taken = |budget: &mut SharedRetryBudget, now| (0..20).filter(|_| budget.take(now)).count();
+    let taken = |budget: &mut PoolRetryBudget, now| (0..20).filter(|_| budget.take(now)).count();
     assert_eq!(taken(&mut earn(), start), 2);
     assert_eq!(taken(&mut earn(), start + BOUND.window * 9 / 10), 2);
     assert_eq!(taken(&mut earn(), start + BOUND.window), 0);
@@ -296,8 +296,8 @@
         ..BOUND
     };
     let mut draw = ChaCha8Rng::seed_from_u64(9);
-    let mut budgets: Vec<SharedRetryBudget> = (0..40)
-        .map(|_| SharedRetryBudget::new(bound, draw.random()))
+    let mut budgets: Vec<PoolRetryBudget> = (0..40)
+        .map(|_| PoolRetryBudget::new(bound, draw.random()))
         .collect();
     let mut seen = Seen::default();
     for step in 0..60_000 {
--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response};
 use rand::Rng;
 use stacktack_core::direct::quarantine::record::Treatment;
-use stacktack_core::direct::request::attempt::AttemptLedger;
+use stacktack_core::direct::request::attempt::AttemptHistory;
 use stacktack_core::direct::traffic::route::{Route, Tenant, TrafficConfiguration};
 use stacktack_core::time::Time;
 
@@ -131,7 +131,7 @@
         limit,
         digest,
         look: None,
-        ledger: AttemptLedger::default(),
+        ledger: AttemptHistory::default(),
         in_doubt: false,
         is_repeat_granted: false,
         tried: Vec::new(),
--- a/crates/stacktack-direct/src/answer.rs
+++ b/crates/stacktack-direct/src/answer.rs
@@ -245,7 +245,10 @@
             }
             Poll::Ready(Some(Err(_))) => return Poll::Ready(Step::Broken(AttemptFailure::Broken)),
             Poll::Ready(None) => {
-                let torn = self.splitter.as_ref().is_some_and(EventSplitter::is_torn);
+                let torn = self
+                    .splitter
+                    .as_ref()
+                    .is_some_and(EventSplitter::has_partial_event);
                 return Poll::Ready(if torn {
                     Step::Broken(AttemptFailure::Broken)
                 } else {
@@ -260,7 +263,7 @@
         if let Some(stall) = &mut self.stall {
             while stall.as_mut().poll(context).is_ready() {
                 if exchange.leaves_silent_attempt(AnswerProgress::Begun) {
-                    return Poll::Ready(Step::Broken(AttemptFailure::Silent));
+                    return Poll::Ready(Step::Broken(AttemptFailure::TimedOut));
                 }
                 stall.as_mut().reset(next_stall());
             }
@@ -284,7 +287,7 @@
         else {
             return false;
         };
-        let is_silent = failure == AttemptFailure::Silent;
+        let is_silent = failure == AttemptFailure::TimedOut;
         if is_silent {
             attempt.on_unreachable();
         } else {
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/back_end_end.rs
@@ -61,7 +61,7 @@
         attempt: &Attempt,
         failure: AttemptFailure,
     ) -> Option<LookEnd> {
-        if !matches!(failure, AttemptFailure::Broken | AttemptFailure::Silent) {
+        if !matches!(failure, AttemptFailure::Broken | AttemptFailure::TimedOut) {
             return None;
         }
         let run = BrokenRun {
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -76,7 +76,7 @@
                 limit: limit.map_or(f64::INFINITY, |limit| limit.requests(slots) + not_counted),
                 same_zone: zone == Some(&self.settings.zone),
                 standing,
-                open: !drained && member.may_get_requests(now),
+                eligible: !drained && member.may_get_requests(now),
             });
             candidates.reports.push(LoadReport { load, slots, age });
             candidates.ids.push(member.entry.id.clone());
@@ -99,17 +99,18 @@
 impl Candidates {
     /// Whether some may get the request and is not full.
     fn any_has_room(&self) -> bool {
-        let mut open = self.list.iter().filter(|candidate| candidate.open);
+        let mut open = self.list.iter().filter(|candidate| candidate.eligible);
         open.any(|candidate| candidate.load < candidate.limit)
     }
 
     /// Load of the pool, over those that may get requests and stand best; `None` where it
     /// is not known.
     pub fn pool_load(&self) -> Option<PoolLoad> {
-        let open = self.list.iter().filter(|candidate| candidate.open);
+        let open = self.list.iter().filter(|candidate| candidate.eligible);
         let best = open.map(|candidate| candidate.standing).min()?;
-        let stands_best =
-            |(candidate, _): &(&DirectCandidate, _)| candidate.open && candidate.standing == best;
+        let stands_best = |(candidate, _): &(&DirectCandidate, _)| {
+            candidate.eligible && candidate.standing == best
+        };
         let pairs = self.list.iter().zip(&self.reports).filter(stands_best);
         let reports: Vec<LoadReport> = pairs.map(|(_, report)| *report).collect();
         PoolLoad::of(&reports)
@@ -125,7 +126,7 @@
     /// and the limit that follows from the load of the pool.
     pub fn judge_by(&mut self, pool: &PoolLoad, hold_seconds: f64) {
         for (candidate, report) in self.list.iter_mut().zip(&self.reports) {
-            candidate.load = if candidate.open {
+            candidate.load = if candidate.eligible {
                 pool.expected(report, hold_seconds)
             } else {
                 report.left(hold_seconds)
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -9,7 +9,7 @@
 use stacktack_core::direct::admission::SlotLimit;
 use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::back_ends::suspicion::RequestRisk;
-use stacktack_core::direct::choice::part_shares::SharedPool;
+use stacktack_core::direct::choice::part_shares::PoolStats;
 use stacktack_core::direct::choice::select::{
     is_home, likely_holder, select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
     Selection,
@@ -56,7 +56,7 @@
                 limit: candidate.limit,
                 mean,
                 rank: 0,
-                home: None,
+                start_index: None,
             },
             standing: candidate.standing,
             load_age,
@@ -93,9 +93,9 @@
         if let (Some(pool), Some(hold)) = (pool_load, self.hold_seconds()) {
             candidates.judge_by(&pool, hold);
         }
-        let mut bounds = SelectBounds::below(self.router.bounds().load_cap);
+        let mut bounds = SelectBounds::for_load_cap(self.router.bounds().load_cap);
         if pool_load.is_some_and(|pool| pool.is_full()) {
-            bounds = bounds.in_full_pool();
+            bounds = bounds.for_full_pool();
         }
         let selection = match self.caller.prompt.affinity_part() {
             Some(part) => {
@@ -122,17 +122,17 @@
         let is_first_try = self.tried.is_empty();
         let now = self.router.now();
         let mean_load = candidates.mean_load();
-        let pool = SharedPool {
+        let pool = PoolStats {
             members: candidates.list.len(),
             mean_load,
-            slack: bounds.slack(mean_load),
+            spill_headroom: bounds.spill_headroom(mean_load),
         };
         let name = pool_name(self.pool());
         let places = self.router.with_part_shares(name, |shares| {
             if is_first_try {
-                shares.note(part, now);
+                shares.record(part, now);
             }
-            shares.places(part, &pool)
+            shares.replicas(part, &pool)
         });
         bounds.spread_over(places, rand::rng().random_range(0..places))
     }
@@ -181,7 +181,7 @@
         let told = places
             .holders(part.id)
             .iter()
-            .any(|holder| holder.back_end == back_end && now.since(holder.used) < TELL_AGAIN);
+            .any(|holder| holder.back_end == back_end && now.since(holder.last_used) < TELL_AGAIN);
         places.record(part.id, back_end, now);
         let back_ends = self.router.back_ends.borrow();
         let mut pool = back_ends
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -13,7 +13,7 @@
 use stacktack_core::configuration::selector::Requirement;
 use stacktack_core::direct::quarantine::digest::RequestDigest;
 use stacktack_core::direct::quarantine::record::Treatment;
-use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptLedger};
+use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptHistory};
 use stacktack_core::direct::request::run_times::RunId;
 use stacktack_core::direct::traffic::route::{Route, Tenant};
 use stacktack_core::time::Time;
@@ -81,7 +81,7 @@
     pub(crate) limit: Time,
     /// Which request it is; worked out when it first matters.
     pub(crate) digest: OnceCell<RequestDigest>,
-    pub(crate) ledger: AttemptLedger,
+    pub(crate) ledger: AttemptHistory,
     /// The look at whether the last attempt's back end ended.
     pub(crate) look: Option<LookEnd>,
     /// Whether an attempt is under way that may run.
@@ -235,14 +235,14 @@
     /// Counts and logs an attempt that failed.
     pub(crate) fn note_failure(&mut self, failure: AttemptFailure, after: &str) {
         self.in_doubt = false;
-        self.ledger.count(failure);
-        self.router.metrics.count_attempt(failure.word());
+        self.ledger.record(failure);
+        self.router.metrics.count_attempt(failure.as_str());
         log::info!(
             target: "attempt",
             "id={} back_end={} end={} after_event={} sends={} ms={}",
             self.id,
             self.tried.last().map_or("-", String::as_str),
-            failure.word(),
+            failure.as_str(),
             after,
             self.ledger.sends,
             self.elapsed().as_millis(),
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -15,13 +15,13 @@
 use stacktack_core::direct::back_ends::zone_drain::ZoneDrains;
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::direct::choice::part_shares::PartShares;
-use stacktack_core::direct::choice::places::PrefixPlaces;
+use stacktack_core::direct::choice::prefix_locations::PrefixLocations;
 use stacktack_core::direct::peers::hand_over::HandOvers;
 use stacktack_core::direct::peers::peer_news::{ShortId, ZoneHash};
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::direct::quarantine::broken_runs::BrokenRuns;
 use stacktack_core::direct::quarantine::Quarantine;
-use stacktack_core::direct::request::budget::SharedRetryBudget;
+use stacktack_core::direct::request::budget::PoolRetryBudget;
 use stacktack_core::direct::request::planned_stop::PlannedStop;
 use stacktack_core::direct::request::run_times::RunTimes;
 use stacktack_core::direct::rollout::Rollouts;
@@ -58,7 +58,7 @@
 struct KnownPool {
     /// Conditions on its back ends.
     back_ends: Vec<Requirement>,
-    budget: SharedRetryBudget,
+    budget: PoolRetryBudget,
 }
 
 /// State of the process.
@@ -88,7 +88,7 @@
     /// Resting connections to back ends.
     pub connections: RefCell<RestingConnections>,
     /// Where prompt parts were last read.
-    pub places: RefCell<PrefixPlaces>,
+    pub places: RefCell<PrefixLocations>,
     /// Room of each pool.
     admissions: RefCell<HashMap<String, PoolAdmission>>,
     /// Prompt parts of requests of late, by the name of their pool.
@@ -418,7 +418,7 @@
     /// Takes one repeated send of a request to a pool from the budget.
     pub fn take_retry(&self, id: &str, pool: &[Requirement]) -> bool {
         let now = self.now();
-        let (taken, left) = self.with_budget(pool, |budget| (budget.take(now), budget.left()));
+        let (taken, left) = self.with_budget(pool, |budget| (budget.take(now), budget.available()));
         self.metrics.count_retry(taken);
         log::info!(
             target: "retry",
@@ -432,14 +432,14 @@
     fn with_budget<T>(
         &self,
         pool: &[Requirement],
-        act: impl FnOnce(&mut SharedRetryBudget) -> T,
+        act: impl FnOnce(&mut PoolRetryBudget) -> T,
     ) -> T {
         let mut pools = self.pools.borrow_mut();
         let known = pools
             .entry(pool_name(pool).to_owned())
             .or_insert_with(|| KnownPool {
                 back_ends: pool.to_vec(),
-                budget: SharedRetryBudget::new(self.bounds().retries, rand::rng().random()),
+                budget: PoolRetryBudget::new(self.bounds().retries, rand::rng().random()),
             });
         act(&mut known.budget)
     }
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use stacktack_core::direct::quarantine::record::Treatment;
-use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptLedger};
+use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptHistory};
 use tokio::time::timeout;
 
 use crate::attempt::{Attempt, AttemptEnd, StoredAnswer};
@@ -84,7 +84,7 @@
                 match failure {
                     AttemptFailure::Broken => attempt.on_failure(),
                     // It says nothing of how it serves.
-                    AttemptFailure::Left => {}
+                    AttemptFailure::BackEndLeft => {}
                     _ => attempt.on_unreachable(),
                 }
                 self.look = self.note_broken_run(&attempt, failure);
@@ -155,7 +155,7 @@
             };
             // A connection takes up to 150 ms: news that came meanwhile counts.
             if !self.router.may_send(&attempt.back_end, attempt.life) {
-                return Err(AttemptFailure::Left);
+                return Err(AttemptFailure::BackEndLeft);
             }
             let request = self.back_end_request(attempt, resume_after, fetch_from);
             self.in_doubt = true;
@@ -174,7 +174,7 @@
                     }
                 }
                 Err(SendError::Broken(_)) => return Err(AttemptFailure::Broken),
-                Err(SendError::Silent) => return Err(AttemptFailure::Silent),
+                Err(SendError::Silent) => return Err(AttemptFailure::TimedOut),
             }
         }
     }
@@ -190,7 +190,7 @@
 
     /// Whether the request may be sent again when the next attempt fails.
     pub(crate) fn may_repeat_next(&self) -> bool {
-        let next = AttemptLedger {
+        let next = AttemptHistory {
             sends: self.ledger.sends + 1,
             may_have_run: true,
             ..self.ledger
@@ -262,7 +262,7 @@
         let missing = told.id.is_none() && !head.status.is_success();
         if !own && !missing {
             attempt.on_failure();
-            return AttemptEnd::Failure(AttemptFailure::Crossed, None);
+            return AttemptEnd::Failure(AttemptFailure::MismatchedResponse, None);
         }
         if told.other_instance || head.status == StatusCode::MISDIRECTED_REQUEST {
             attempt.on_other_instance();
--- a/crates/stacktack-direct/src/stopping.rs
+++ b/crates/stacktack-direct/src/stopping.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use stacktack_core::direct::request::planned_stop::{PlannedStop, StopRequest};
+use stacktack_core::direct::request::planned_stop::{PlannedStop, RequestTiming};
 use stacktack_core::direct::request::run_times::RunId;
 use stacktack_core::direct::traffic::route::Route;
 use stacktack_core::time::Time;
@@ -33,7 +33,7 @@
         router.exchanges.get(),
     );
     router.phase.send_replace(Phase::Closing);
-    router.until_in_stop(PlannedStop::looked_away).await;
+    router.until_in_stop(PlannedStop::deregistered_at).await;
     serve_as_the_last(router).await;
     log::info!(
         target: "router",
@@ -95,7 +95,7 @@
     /// Takes over a shorter grace.
     pub(crate) fn shorten_stop(&self, grace: Duration) {
         if let Some(mut stop) = self.planned_stop.get() {
-            stop.shorten(grace);
+            stop.shorten_grace(grace);
             self.planned_stop.set(Some(stop));
             // Wakes those that wait for the end.
             self.phase.send_modify(|_| ());
@@ -114,22 +114,22 @@
         log::info!(
             target: "stop",
             "id={id} taken={} by={} after_ms={} left_ms={} limit_ms={} longest_run_ms={} others_serve={}",
-            decision.is_taken(),
-            decision.word(),
+            decision.is_admitted(),
+            decision.as_str(),
             stop.age(now).as_millis(),
             stop.end().since(now).as_millis(),
             limit.since(now).as_millis(),
             request.longest_run.map_or_else(|| "-".to_owned(), |longest| longest.as_millis().to_string()),
             self.peers.borrow().any_serving(),
         );
-        decision.is_taken()
+        decision.is_admitted()
     }
 
     /// Counts a request that is taken after callers have looked away; returns whether this one is.
     pub(crate) fn note_taken_as_last(&self) -> bool {
         let now = self.now();
         let stop = self.planned_stop.get();
-        let is_late = stop.is_some_and(|stop| now >= stop.looked_away());
+        let is_late = stop.is_some_and(|stop| now >= stop.deregistered_at());
         if is_late {
             self.taken_as_last.set(self.taken_as_last.get() + 1);
         }
@@ -141,12 +141,12 @@
         let Some(stop) = self.planned_stop.get() else {
             return true;
         };
-        stop.may_try_again(&self.stop_request(route, limit), self.now())
+        stop.may_retry(&self.stop_request(route, limit), self.now())
     }
 
-    fn stop_request(&self, route: &Route, limit: Time) -> StopRequest {
-        StopRequest {
-            limit,
+    fn stop_request(&self, route: &Route, limit: Time) -> RequestTiming {
+        RequestTiming {
+            deadline: limit,
             longest_run: self.longest_run(&route.name),
         }
     }
@@ -155,7 +155,7 @@
     pub(crate) async fn until_answer_due(&self, limit: Time) {
         tokio::select! {
             () = self.until(limit) => {}
-            () = self.until_in_stop(PlannedStop::answers_due) => {}
+            () = self.until_in_stop(PlannedStop::response_deadline) => {}
         }
     }
 
@@ -192,7 +192,7 @@
             .map(|begun| PlannedStop::new(begun, grace));
         let longest = self.longest_run_of_all();
         let stops = self.planned_stop.get().into_iter().chain(of_peer);
-        let back = stops.map(|stop| stop.successor_at(longest)).min();
+        let back = stops.map(|stop| stop.successor_ready_at(longest)).min();
         let wait = back.map_or(Duration::ZERO, |back| back.since(self.now()));
         wait.max(RETRY_AFTER) + RETURN_SPREAD.mul_f64(rand::rng().random())
     }
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -215,7 +215,7 @@
     let candidates = router.candidates(&[], &[], RequestRisk::Repeatable, None);
     let pairs = candidates.list.iter().zip(&candidates.ids);
     let mut open: Vec<String> = pairs
-        .filter(|(candidate, _)| candidate.open)
+        .filter(|(candidate, _)| candidate.eligible)
         .map(|(_, id)| id.clone())
         .collect();
     open.sort();
