--- a/crates/stacktack-core/src/direct/back_ends/mod.rs
+++ b/crates/stacktack-core/src/direct/back_ends/mod.rs
@@ -29,7 +29,7 @@
 use crate::direct::back_ends::slow_start::{KnownFleet, SlowStart};
 use crate::direct::back_ends::standing::{PoolMeans, Standing};
 use crate::direct::back_ends::suspicion::RequestRisk;
-use crate::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
+use crate::direct::peers::peer_gossip::{LoadGossip, ShortId, MAX_REPORTED_LOADS_PER_DATAGRAM};
 use crate::time::Time;
 
 /// Departures that are remembered, to tell peers what changed.
@@ -233,17 +233,17 @@
     }
 
     /// Loads that members told of late, the newest first.
-    pub fn told_loads(&self, now: Time) -> Vec<LoadNews> {
-        let mut told: Vec<LoadNews> = self
+    pub fn told_loads(&self, now: Time) -> Vec<LoadGossip> {
+        let mut told: Vec<LoadGossip> = self
             .members
             .values()
             .filter_map(|member| {
                 let load = member.load.told(now)?;
-                LoadNews::new(ShortId::of(member.id_hash), load.requests, load.at, now)
+                LoadGossip::new(ShortId::of(member.id_hash), load.requests, load.at, now)
             })
             .collect();
         told.sort_unstable_by_key(|news| (news.age(), news.back_end));
-        told.truncate(TOLD_LOADS_PER_DATAGRAM);
+        told.truncate(MAX_REPORTED_LOADS_PER_DATAGRAM);
         told
     }
 
@@ -265,17 +265,17 @@
     }
 
     /// Takes loads that back ends told another router.
-    pub fn take_told_loads(&mut self, news: &[LoadNews], now: Time) {
+    pub fn take_told_loads(&mut self, news: &[LoadGossip], now: Time) {
         if news.is_empty() {
             return;
         }
-        let news: HashMap<ShortId, &LoadNews> =
+        let news: HashMap<ShortId, &LoadGossip> =
             news.iter().map(|load| (load.back_end, load)).collect();
         for member in self.members.values_mut() {
             if let Some(load) = news.get(&ShortId::of(member.id_hash)) {
                 member
                     .load
-                    .on_told(u32::from(load.requests), load.told_at(now));
+                    .on_told(u32::from(load.requests), load.reported_at(now));
             }
         }
     }
--- a/crates/stacktack-core/src/direct/peers/newcomers.rs
+++ b/crates/stacktack-core/src/direct/peers/bootstrap.rs
@@ -6,7 +6,7 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-use crate::direct::peers::peer_news::PeerNews;
+use crate::direct::peers::peer_gossip::PeerGossip;
 use crate::direct::peers::Peers;
 use crate::time::Time;
 
@@ -56,7 +56,7 @@
 
 impl Peers {
     /// Whether newcomers wait to be told.
-    pub fn has_newcomers(&self) -> bool {
+    pub fn has_uninitialized_peers(&self) -> bool {
         !self.newcomers.is_empty()
     }
 
@@ -79,7 +79,7 @@
 
     /// A router that lacks a source waits to be told. One that was told may not have heard it, or may be
     /// unable to learn.
-    pub(super) fn note_newcomer(&mut self, news: &PeerNews, welcomes: Welcomes, now: Time) {
+    pub(super) fn note_newcomer(&mut self, news: &PeerGossip, welcomes: Welcomes, now: Time) {
         if knows_both(news.configuration, news.directory) {
             self.newcomers.retain(|one| *one != news.from);
             return;
--- a/crates/stacktack-core/src/direct/peers/mod.rs
+++ b/crates/stacktack-core/src/direct/peers/mod.rs
@@ -9,11 +9,11 @@
 //! more fetches it from there. Nothing here has to arrive: a lost datagram only
 //! makes a belief a little older.
 
-pub mod hand_over;
-pub mod knowledge_age;
-mod newcomers;
-pub mod peer_news;
-mod whom_to_ask;
+mod bootstrap;
+pub mod peer_gossip;
+mod selection;
+pub mod snapshot_transfers;
+pub mod source_age;
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngExt};
 
-use crate::direct::peers::newcomers::{knows_both, Welcomes};
-use crate::direct::peers::peer_news::{OwnNews, PeerNews, ShortId, ZoneHash};
+use crate::direct::peers::bootstrap::{knows_both, Welcomes};
+use crate::direct::peers::peer_gossip::{OwnGossip, PeerGossip, ShortId, ZoneHash};
 use crate::time::Time;
 
 /// Time after which a peer that is not heard counts as gone, at least ...
@@ -91,7 +91,7 @@
 const STATE_AGE: Duration = Duration::from_millis(500);
 
 /// Largest datagram, in bytes.
-pub const MAXIMUM_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// Bytes of the headers around a datagram.
 const HEADER_BYTES: f64 = 28.0;
@@ -106,19 +106,19 @@
     heard: Time,
     configuration: u64,
     directory: u64,
-    settled: bool,
+    directory_steady: bool,
     serving: bool,
-    loads: Vec<(ShortId, u16)>,
+    in_flight: Vec<(ShortId, u16)>,
     welcomes: Welcomes,
 }
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingDatagram {
     /// To whom.
     pub to: SocketAddr,
     /// What.
-    pub news: PeerNews,
+    pub gossip: PeerGossip,
 }
 
 /// The other routers as far as known.
@@ -185,7 +185,7 @@
             forgot: now,
             stopped: HashMap::new(),
         };
-        peers.add_seeds(seeds);
+        peers.set_seeds(seeds);
         peers
     }
 
@@ -195,13 +195,13 @@
     }
 
     /// Addresses to try beside those known.
-    pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
+    pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
-        self.learn(seeds);
+        self.add_addresses(seeds);
     }
 
     /// Takes addresses of other routers.
-    pub fn learn(&mut self, addresses: &[SocketAddr]) {
+    pub fn add_addresses(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             if *address != self.own && !self.heard_or_learned.contains_key(address) {
                 self.addresses.push(*address);
@@ -212,7 +212,7 @@
     }
 
     /// A prompt part was read by a back end: worth telling.
-    pub fn announce_place(&mut self, part: u64, back_end: ShortId) {
+    pub fn announce_prefix_location(&mut self, part: u64, back_end: ShortId) {
         if self.places.len() >= WAITING_PLACES {
             self.places.pop_front();
         }
@@ -221,7 +221,7 @@
 
     /// Datagrams to send now, within the budget. Every known address gets its
     /// turn; how many get one at a time follows from the budget.
-    pub fn tick(&mut self, own: &OwnNews, now: Time) -> Vec<Outgoing> {
+    pub fn tick(&mut self, own: &OwnGossip, now: Time) -> Vec<OutgoingDatagram> {
         self.forget(now);
         let elapsed = now.since(self.last_tick).as_secs_f64();
         self.last_tick = now;
@@ -236,9 +236,9 @@
         let places: Vec<(u64, ShortId)> = self.places.iter().take(told).copied().collect();
         for _ in 0..count {
             self.turn = (self.turn + self.step()) % self.addresses.len();
-            outgoing.push(Outgoing {
+            outgoing.push(OutgoingDatagram {
                 to: self.addresses[self.turn],
-                news: self.news(own, places.clone(), self.turn + 1),
+                gossip: self.gossip(own, places.clone(), self.turn + 1),
             });
         }
         self.batch_told_to += count;
@@ -251,9 +251,14 @@
 
     /// Datagrams to send at once: what is new here goes to a few others (`spread`), and what is
     /// known of both sources to newcomers, as far as the budget goes. They leave out what has time.
-    pub fn push(&mut self, own: &OwnNews, spread: bool, random: &mut impl Rng) -> Vec<Outgoing> {
-        let own = OwnNews {
-            told_loads: Vec::new(),
+    pub fn push(
+        &mut self,
+        own: &OwnGossip,
+        spread: bool,
+        random: &mut impl Rng,
+    ) -> Vec<OutgoingDatagram> {
+        let own = OwnGossip {
+            reported_loads: Vec::new(),
             suspects: Vec::new(),
             ..own.clone()
         };
@@ -272,9 +277,9 @@
         outgoing
     }
 
-    fn to_push(&self, to: SocketAddr, own: &OwnNews, first: usize) -> Outgoing {
-        let news = self.news(own, Vec::new(), first);
-        Outgoing { to, news }
+    fn to_push(&self, to: SocketAddr, own: &OwnGossip, first: usize) -> OutgoingDatagram {
+        let gossip = self.gossip(own, Vec::new(), first);
+        OutgoingDatagram { to, gossip }
     }
 
     /// Datagrams that the bytes saved, and so many more, are enough for.
@@ -295,9 +300,9 @@
     }
 
     /// News with some of the addresses from this one on.
-    fn news(&self, own: &OwnNews, places: Vec<(u64, ShortId)>, first: usize) -> PeerNews {
-        let mut loads = own.loads.clone();
-        loads.truncate(LOADS_PER_DATAGRAM);
+    fn gossip(&self, own: &OwnGossip, places: Vec<(u64, ShortId)>, first: usize) -> PeerGossip {
+        let mut in_flight = own.in_flight.clone();
+        in_flight.truncate(LOADS_PER_DATAGRAM);
         let most = if self.last_tick.since(self.learned) < LEARNING {
             ADDRESSES_WHILE_LEARNING
         } else {
@@ -307,17 +312,17 @@
             .map(|step| self.addresses[(first + step) % self.addresses.len()])
             .filter(|address| self.peers.contains_key(address))
             .collect();
-        PeerNews {
+        PeerGossip {
             from: self.own,
             incarnation: self.incarnation,
             zone: self.zone,
             configuration: own.configuration,
             directory: own.directory,
-            settled: own.settled,
+            directory_steady: own.directory_steady,
             serving: own.serving,
-            loads,
-            told_loads: own.told_loads.clone(),
-            places,
+            in_flight,
+            reported_loads: own.reported_loads.clone(),
+            prefix_locations: places,
             suspects: own.suspects.clone(),
             routers,
             zone_drains: own.zone_drains.clone(),
@@ -332,7 +337,7 @@
     }
 
     /// Takes a peer's news. Returns whether the sender is new here.
-    pub fn receive(&mut self, news: &PeerNews, now: Time) -> bool {
+    pub fn receive(&mut self, news: &PeerGossip, now: Time) -> bool {
         if news.from == self.own {
             return false;
         }
@@ -350,14 +355,14 @@
                 heard: now,
                 configuration: news.configuration,
                 directory: news.directory,
-                settled: news.settled,
+                directory_steady: news.directory_steady,
                 serving: news.serving,
-                loads: news.loads.clone(),
+                in_flight: news.in_flight.clone(),
                 welcomes,
             },
         );
-        self.learn(&news.routers);
-        self.learn(&[news.from]);
+        self.add_addresses(&news.routers);
+        self.add_addresses(&[news.from]);
         self.heard_or_learned.insert(news.from, now);
         if self.peers.len() >= self.peak.0 {
             self.peak = (self.peers.len(), now);
@@ -365,7 +370,7 @@
         joined
     }
 
-    fn note_serving(&mut self, news: &PeerNews, now: Time) {
+    fn note_serving(&mut self, news: &PeerGossip, now: Time) {
         if news.serving {
             self.stopped.remove(&news.from);
         } else if self
@@ -385,7 +390,7 @@
 
     /// Whether so few routers are known that what each counts itself is new to all
     /// the others.
-    pub fn tells_all_quickly(&self) -> bool {
+    pub fn has_short_round(&self) -> bool {
         let bytes = self.addresses.len() as f64 * QUICK_DATAGRAM_BYTES;
         bytes / self.bytes_per_second < QUICK_ROUND.as_secs_f64()
     }
@@ -418,20 +423,20 @@
     /// Routers that may be sharing what the store bears, this one with them: an estimate,
     /// fit for costs and for no bound that has to hold over the fleet. Peers that fell
     /// silent still count for a while: they may be cut off and go on.
-    pub fn sharing(&self) -> usize {
+    pub fn active_routers(&self) -> usize {
         (self.peak.0 + 1).max(LEAST_ROUTERS)
     }
 
     /// Routers that are known, heard or not yet, this one with them: an estimate as
-    /// [`Self::sharing`] is. 103 routers that all start at once know of each other within seconds, long
+    /// [`Self::active_routers`] is. 103 routers that all start at once know of each other within seconds, long
     /// before they hear each other: they ask the store 19 in place of 32 times a second
     /// meanwhile (virtual time).
-    pub fn known(&self) -> usize {
-        self.sharing().max(self.addresses.len() + 1)
+    pub fn known_routers(&self) -> usize {
+        self.active_routers().max(self.addresses.len() + 1)
     }
 
     /// Whether the other routers are likely to be known: no new one was heard of for a while.
-    pub fn knows_fleet(&self, now: Time) -> bool {
+    pub fn is_discovery_complete(&self, now: Time) -> bool {
         now.since(self.learned) >= KNOWN_AFTER
     }
 
@@ -442,13 +447,13 @@
     }
 
     /// Peers that were heard lately.
-    pub fn alive(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.peers.len()
     }
 
     /// Whether fewer than half of the peers known lately are heard: what the others know does
     /// not come from them.
-    pub fn misses_many(&self) -> bool {
+    pub fn lost_most_peers(&self) -> bool {
         self.peers.len() * 2 < self.peak.0
     }
 
@@ -463,24 +468,24 @@
     }
 
     /// Requests in flight from the peers, by back end.
-    pub fn loads(&self) -> HashMap<ShortId, u32> {
+    pub fn in_flight(&self) -> HashMap<ShortId, u32> {
         let mut sums = HashMap::new();
-        for (id, load) in self.peers.values().flat_map(|peer| &peer.loads) {
+        for (id, load) in self.peers.values().flat_map(|peer| &peer.in_flight) {
             *sums.entry(*id).or_insert(0) += u32::from(*load);
         }
         sums
     }
 
     /// Whether some peer told a moment ago that the directory answers steadily.
-    pub fn any_settled(&self, now: Time) -> bool {
-        self.settled(now) > 0
+    pub fn any_directory_steady(&self, now: Time) -> bool {
+        self.directory_steady_count(now) > 0
     }
 
     /// Peers that told a moment ago that the directory answers steadily.
-    pub fn settled(&self, now: Time) -> usize {
+    pub fn directory_steady_count(&self, now: Time) -> usize {
         let told_lately = |peer: &&Peer| now.since(peer.heard) < STATE_AGE;
         let told = self.peers.values().filter(told_lately);
-        told.filter(|peer| peer.settled).count()
+        told.filter(|peer| peer.directory_steady).count()
     }
 }
 
--- a/crates/stacktack-core/src/direct/peers/peer_news.rs
+++ b/crates/stacktack-core/src/direct/peers/peer_gossip.rs
@@ -11,7 +11,7 @@
 
 /// Told loads in one datagram, the newest first. Of 32 routers before 58 back ends, the known loads were 0.42 s old in the
 /// middle and 1.40 s for 5 in 100 with 16, 0.40 s and 1.42 s with 14, 0.39 s and 1.62 s with 10.
-pub const TOLD_LOADS_PER_DATAGRAM: usize = 14;
+pub const MAX_REPORTED_LOADS_PER_DATAGRAM: usize = 14;
 
 /// Unit of a told load's age on the wire.
 const AGE_UNIT: Duration = Duration::from_millis(20);
@@ -31,7 +31,7 @@
 
 /// A load that a back end told, as routers hand it on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadGossip {
     /// The back end.
     pub back_end: ShortId,
     /// Requests that it ran and held, from all routers.
@@ -40,11 +40,11 @@
     age: u8,
 }
 
-impl LoadNews {
+impl LoadGossip {
     /// A load that was told at a time; `None` when that is too long ago.
-    pub fn new(back_end: ShortId, requests: u32, told_at: Time, now: Time) -> Option<Self> {
-        let age = now.since(told_at).as_millis() / AGE_UNIT.as_millis();
-        Some(LoadNews {
+    pub fn new(back_end: ShortId, requests: u32, reported_at: Time, now: Time) -> Option<Self> {
+        let age = now.since(reported_at).as_millis() / AGE_UNIT.as_millis();
+        Some(LoadGossip {
             back_end,
             requests: u16::try_from(requests).unwrap_or(u16::MAX),
             age: u8::try_from(age).ok()?,
@@ -52,7 +52,7 @@
     }
 
     /// When the back end told it, for a datagram that arrived now.
-    pub fn told_at(&self, now: Time) -> Time {
+    pub fn reported_at(&self, now: Time) -> Time {
         now - AGE_UNIT * u32::from(self.age)
     }
 
@@ -75,7 +75,7 @@
 
 /// What one router tells another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerNews {
+pub struct PeerGossip {
     /// The sender's address for news.
     pub from: SocketAddr,
     /// Drawn anew at each start of the sender.
@@ -87,16 +87,16 @@
     /// Revision up to which the sender knows the directory; 0 for none.
     pub directory: u64,
     /// Whether the directory answered the sender steadily of late.
-    pub settled: bool,
+    pub directory_steady: bool,
     /// Whether the sender takes callers.
     pub serving: bool,
     /// Requests in flight from the sender at back ends that told no load of late;
     /// absent ones have none.
-    pub loads: Vec<(ShortId, u16)>,
+    pub in_flight: Vec<(ShortId, u16)>,
     /// Loads that back ends told somebody of late.
-    pub told_loads: Vec<LoadNews>,
+    pub reported_loads: Vec<LoadGossip>,
     /// Prompt parts and the back end that read them last.
-    pub places: Vec<(u64, ShortId)>,
+    pub prefix_locations: Vec<(u64, ShortId)>,
     /// Back ends whose failures the sender saw and that it passes by.
     pub suspects: Vec<ShortId>,
     /// A few other routers.
@@ -107,19 +107,19 @@
 
 /// What a router wants to tell at a tick.
 #[derive(Clone, Debug, Default)]
-pub struct OwnNews {
+pub struct OwnGossip {
     /// Version of the configuration in force.
     pub configuration: u64,
     /// Revision up to which the directory is known.
     pub directory: u64,
     /// Whether the directory answered steadily of late.
-    pub settled: bool,
+    pub directory_steady: bool,
     /// Whether this router takes callers.
     pub serving: bool,
     /// Requests in flight at back ends that told no load of late.
-    pub loads: Vec<(ShortId, u16)>,
+    pub in_flight: Vec<(ShortId, u16)>,
     /// Loads that back ends told of late, the newest first.
-    pub told_loads: Vec<LoadNews>,
+    pub reported_loads: Vec<LoadGossip>,
     /// Back ends that this router suspects.
     pub suspects: Vec<ShortId>,
     /// Zones whose drain was asked for or taken back.
--- a/crates/stacktack-core/src/direct/peers/whom_to_ask.rs
+++ b/crates/stacktack-core/src/direct/peers/selection.rs
@@ -5,13 +5,13 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use rand::Rng;
 
-use crate::direct::peers::peer_news::ZoneHash;
+use crate::direct::peers::peer_gossip::ZoneHash;
 use crate::direct::peers::{Peer, Peers};
 
 impl Peers {
     /// Addresses of this router and of the peers that were heard lately. Others are not handed on:
     /// addresses of routers that are gone would go round for ever.
-    pub fn heard_routers(&self) -> Vec<SocketAddr> {
+    pub fn live_routers(&self) -> Vec<SocketAddr> {
         let own = std::iter::once(self.own);
         own.chain(self.heard()).collect()
     }
@@ -23,7 +23,7 @@
 
     /// A router to ask for all that it has heard: one that everybody knows from the settings, since
     /// routers that start tell these first; any other one after that `failed`.
-    pub fn to_ask_for_routers(&self, failed: bool, random: &mut impl Rng) -> Option<SocketAddr> {
+    pub fn discovery_peer(&self, failed: bool, random: &mut impl Rng) -> Option<SocketAddr> {
         let others = |seed: &&SocketAddr| **seed != self.own;
         let seeds: Vec<SocketAddr> = self.seeds.iter().filter(others).copied().collect();
         let heard = self.heard().choose(random);
@@ -34,13 +34,13 @@
     }
 
     /// Whether a peer is known to stand in the own zone.
-    pub fn is_near(&self, address: SocketAddr) -> bool {
+    pub fn is_in_own_zone(&self, address: SocketAddr) -> bool {
         let peer = self.peers.get(&address);
         peer.is_some_and(|peer| peer.zone == self.zone)
     }
 
     /// The zone of the router at an address, if that is another one than the own.
-    pub fn other_zone_of(&self, address: IpAddr) -> Option<ZoneHash> {
+    pub fn remote_zone_of(&self, address: IpAddr) -> Option<ZoneHash> {
         let mut peers = self.peers.iter();
         let peer = peers.find(|(peer, _)| peer.ip() == address);
         let zone = peer.map(|(_, peer)| peer.zone);
--- a/crates/stacktack-core/src/direct/peers/hand_over.rs
+++ b/crates/stacktack-core/src/direct/peers/snapshot_transfers.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::direct::peers::peer_news::ZoneHash;
+use crate::direct::peers::peer_gossip::ZoneHash;
 use crate::time::Time;
 
 /// Whole documents on their way to routers of the own zone, or of zones that are not known.
@@ -24,7 +24,7 @@
 
 /// Whole documents on their way to peers.
 #[derive(Clone, Debug, Default)]
-pub struct HandOvers {
+pub struct SnapshotTransfers {
     under_way: Vec<HandOver>,
     begun: u64,
     /// Bytes of the document when it was last handed over.
@@ -39,7 +39,7 @@
     since: Time,
 }
 
-impl HandOvers {
+impl SnapshotTransfers {
     /// A peer asks, of another zone if `far` names one. Returns the number of the hand-over, to end it
     /// by; `None` if there is no room now.
     pub fn begin(&mut self, far: Option<ZoneHash>, now: Time) -> Option<u64> {
@@ -59,7 +59,7 @@
     }
 
     /// The document that is handed over has so many bytes.
-    pub fn note_size(&mut self, bytes: usize) {
+    pub fn set_document_bytes(&mut self, bytes: usize) {
         self.document_bytes = Some(bytes);
     }
 
--- a/crates/stacktack-core/src/direct/peers/knowledge_age.rs
+++ b/crates/stacktack-core/src/direct/peers/source_age.rs
@@ -13,13 +13,13 @@
 
 /// An age, rounded up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldAge(u8);
+pub struct EncodedAge(u8);
 
-impl ToldAge {
+impl EncodedAge {
     /// An age to tell; `None` where it is too great to matter.
     pub fn new(age: Duration) -> Option<Self> {
         let units = age.as_millis().div_ceil(UNIT.as_millis());
-        u8::try_from(units).ok().map(ToldAge)
+        u8::try_from(units).ok().map(EncodedAge)
     }
 
     /// The age when it was told.
@@ -30,11 +30,11 @@
 
 /// Ages of what the sender of a datagram knows up to the revisions that it tells beside.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnowledgeAges {
+pub struct SourceAges {
     /// Of the directory.
-    pub directory: Option<ToldAge>,
+    pub directory: Option<EncodedAge>,
     /// Of the configuration, drains of zones included.
-    pub configuration: Option<ToldAge>,
+    pub configuration: Option<EncodedAge>,
 }
 
 /// The last answer of a source that somebody got, as the sender of a datagram knows it.
@@ -47,7 +47,7 @@
     /// Revision of the source up to which it told; whoever knows as much goes on from there. 0 for none.
     pub revision: u64,
     /// When it was made, in milliseconds on the clock of the source; 0 for none.
-    pub told_at: u64,
+    pub answered_at_ms: u64,
 }
 
 /// The last answers of the sources.
--- a/crates/stacktack-core/src/direct/quarantine/digest.rs
+++ b/crates/stacktack-core/src/direct/quarantine/digest.rs
@@ -62,7 +62,7 @@
     }
 
     /// A number of it, for rendezvous hashing.
-    pub fn number(&self) -> u64 {
+    pub fn as_u64(&self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
         u64::from_le_bytes(first)
--- a/crates/stacktack-core/src/direct/quarantine/broken_runs.rs
+++ b/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
@@ -20,7 +20,7 @@
 
 /// A run that broke off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenRun {
+pub struct InterruptedRun {
     /// Which request.
     pub digest: RequestDigest,
     /// Id of the try, for logs.
@@ -33,15 +33,15 @@
 
 /// Broken runs by the life of a back end.
 #[derive(Clone, Debug, Default)]
-pub struct BrokenRuns {
-    waiting: HashMap<LifeId, Vec<BrokenRun>>,
+pub struct InterruptedRuns {
+    waiting: HashMap<LifeId, Vec<InterruptedRun>>,
     /// Lives that ended, and when that showed.
     ended: HashMap<LifeId, Time>,
 }
 
-impl BrokenRuns {
+impl InterruptedRuns {
     /// A run broke off.
-    pub fn note(&mut self, life: LifeId, run: BrokenRun) {
+    pub fn add(&mut self, life: LifeId, run: InterruptedRun) {
         let runs = self.waiting.entry(life).or_default();
         if runs.len() < MOST_PER_BACK_END {
             runs.push(run);
@@ -49,10 +49,10 @@
     }
 
     /// It showed that a life ended. Returns the runs that broke off there.
-    pub fn on_ended(&mut self, life: LifeId, now: Time) -> Vec<BrokenRun> {
+    pub fn on_back_end_ended(&mut self, life: LifeId, now: Time) -> Vec<InterruptedRun> {
         self.ended.insert(life, now);
         let runs = self.waiting.remove(&life).unwrap_or_default();
-        let fresh = |run: &BrokenRun| now.since(run.at) < KEEP;
+        let fresh = |run: &InterruptedRun| now.since(run.at) < KEEP;
         runs.into_iter().filter(fresh).collect()
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Whether runs broke off there that nothing explains yet.
-    pub fn is_waiting(&self, life: LifeId) -> bool {
+    pub fn has_unexplained(&self, life: LifeId) -> bool {
         self.waiting.contains_key(&life)
     }
 
--- a/crates/stacktack-core/src/direct/quarantine/mod.rs
+++ b/crates/stacktack-core/src/direct/quarantine/mod.rs
@@ -12,12 +12,12 @@
 //! (4 routers and 8 back ends, processes).
 //!
 //! - [`digest`]: which request it is, whoever tries it and however often.
-//! - [`broken_runs`]: runs that broke off, until it is known whether their back end ended.
+//! - [`interrupted_runs`]: runs that broke off, until it is known whether their back end ended.
 //! - [`record`]: what speaks against one request, mergeable.
 //! - [`probation`]: where a suspect runs.
 
-pub mod broken_runs;
 pub mod digest;
+pub mod interrupted_runs;
 pub mod probation;
 pub mod record;
 
@@ -26,7 +26,7 @@
 
 use crate::direct::back_ends::directory::LifeId;
 use crate::direct::quarantine::digest::RequestDigest;
-use crate::direct::quarantine::record::{Record, RecordNews, Treatment};
+use crate::direct::quarantine::record::{Record, RecordGossip, Treatment};
 use crate::time::Time;
 
 /// Records that are kept, some 150 bytes each by their layout. An end makes one for each request that broke there.
@@ -72,11 +72,11 @@
     /// How it was treated.
     pub before: Treatment,
     /// How it is treated from now on.
-    pub now: Treatment,
+    pub after: Treatment,
     /// Lives that ended under it, as far as known.
-    pub deaths: usize,
+    pub crashes: usize,
     /// Those among them that ended while it was on probation.
-    pub probation_deaths: usize,
+    pub probation_crashes: usize,
 }
 
 /// What a router knows of requests that end back ends.
@@ -95,12 +95,12 @@
     }
 
     /// Requests that are set aside.
-    pub fn set_aside(&self) -> usize {
+    pub fn set_aside_count(&self) -> usize {
         self.count(Treatment::SetAside)
     }
 
     /// Requests that run on probation.
-    pub fn on_probation(&self) -> usize {
+    pub fn on_probation_count(&self) -> usize {
         self.count(Treatment::Probation)
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// A life ended while it ran a request.
-    pub fn on_death(
+    pub fn on_crash(
         &mut self,
         digest: RequestDigest,
         life: LifeId,
@@ -129,15 +129,19 @@
         now: Time,
     ) -> Option<TreatmentChange> {
         self.make_room(now);
-        let change = self.change(digest, |record| record.add_death(life, on_probation, now))?;
-        if change.now == Treatment::SetAside {
+        let change = self.change(digest, |record| record.add_crash(life, on_probation, now))?;
+        if change.after == Treatment::SetAside {
             self.store_at(digest, now);
         }
         Some(change)
     }
 
     /// A run of a request ended well: whatever ended under it was not its doing.
-    pub fn on_good_run(&mut self, digest: RequestDigest, now: Time) -> Option<TreatmentChange> {
+    pub fn on_successful_run(
+        &mut self,
+        digest: RequestDigest,
+        now: Time,
+    ) -> Option<TreatmentChange> {
         let record = self.records.get(&digest)?;
         if !record.is_marked() {
             return None;
@@ -154,13 +158,13 @@
     }
 
     /// Takes what a peer tells. `draw`, from 0 to 1, spreads who stores a verdict that nobody has.
-    pub fn merge(&mut self, news: &[RecordNews], draw: f64, now: Time) -> Vec<TreatmentChange> {
+    pub fn merge(&mut self, news: &[RecordGossip], draw: f64, now: Time) -> Vec<TreatmentChange> {
         let mut changes = Vec::new();
         for told in news {
             self.make_room(now);
             let change = self.change(told.digest, |record| record.merge(told, now));
             if let Some(change) = change {
-                if change.now == Treatment::SetAside {
+                if change.after == Treatment::SetAside {
                     self.store_at(told.digest, now + STORE_LATER.mul_f64(draw));
                 }
                 changes.push(change);
@@ -178,13 +182,13 @@
         let record = self.records.entry(digest).or_default();
         let before = record.treatment();
         act(record);
-        let now = record.treatment();
-        (now != before).then_some(TreatmentChange {
+        let after = record.treatment();
+        (after != before).then_some(TreatmentChange {
             digest,
             before,
-            now,
-            deaths: record.deaths(),
-            probation_deaths: record.probation_deaths(),
+            after,
+            crashes: record.crashes(),
+            probation_crashes: record.probation_crashes(),
         })
     }
 
@@ -198,7 +202,7 @@
 
     /// What to tell peers in one datagram: what changed lately, verdicts first, and
     /// verdicts in turn.
-    pub fn told(&mut self, now: Time) -> Vec<RecordNews> {
+    pub fn gossip(&mut self, now: Time) -> Vec<RecordGossip> {
         let mut told = self.told_lately(TOLD, NEW, Record::is_grave, now);
         let is_light = |record: &Record| !record.is_grave();
         told.extend(self.told_lately(TOLD_WATCHED, NEW_WATCHED, is_light, now));
@@ -213,15 +217,16 @@
         time: Duration,
         is_meant: impl Fn(&Record) -> bool,
         now: Time,
-    ) -> Vec<RecordNews> {
+    ) -> Vec<RecordGossip> {
         let mut new: Vec<_> = self.records.iter().collect();
         new.retain(|(_, record)| is_meant(record) && now.since(record.changed) < time);
         new.sort_unstable_by_key(|(digest, record)| std::cmp::Reverse((record.changed, **digest)));
         let told = new.into_iter().take(most);
-        told.map(|(digest, record)| record.news(*digest)).collect()
+        told.map(|(digest, record)| record.gossip(*digest))
+            .collect()
     }
 
-    fn verdicts_in_turn(&mut self, now: Time) -> Vec<RecordNews> {
+    fn verdicts_in_turn(&mut self, now: Time) -> Vec<RecordGossip> {
         let stands = |record: &Record| record.treatment() == Treatment::SetAside;
         let is_old = |record: &Record| now.since(record.changed) >= NEW;
         let mut old: Vec<_> = self.records.iter().collect();
@@ -235,12 +240,12 @@
         self.turn = self.turn.wrapping_add(count);
         let in_turn = old.iter().cycle().skip(first).take(count);
         in_turn
-            .map(|(digest, record)| record.news(**digest))
+            .map(|(digest, record)| record.gossip(**digest))
             .collect()
     }
 
     /// Verdicts that are to be written to the store now.
-    pub fn to_store(&self, now: Time) -> Vec<StoredVerdict> {
+    pub fn verdicts_to_write(&self, now: Time) -> Vec<StoredVerdict> {
         let due = |record: &Record| record.store_due.is_some_and(|due| due <= now);
         let records = self.records.iter();
         records
@@ -253,12 +258,17 @@
     }
 
     /// Verdicts that are to be dropped from the store.
-    pub fn to_drop(&self) -> Vec<RequestDigest> {
+    pub fn verdicts_to_remove(&self) -> Vec<RequestDigest> {
         self.outdated.iter().copied().collect()
     }
 
     /// The store took verdicts and dropped others.
-    pub fn on_stored(&mut self, stored: &[StoredVerdict], dropped: &[RequestDigest], now: Time) {
+    pub fn on_verdicts_written(
+        &mut self,
+        stored: &[StoredVerdict],
+        dropped: &[RequestDigest],
+        now: Time,
+    ) {
         for verdict in stored {
             if let Some(record) = self.records.get_mut(&verdict.digest) {
                 if record.epoch == verdict.epoch {
@@ -276,7 +286,7 @@
 
     /// All verdicts of the store, as of a read that began at a time. A verdict that was there
     /// before and is no longer was lifted by an operator.
-    pub fn take_stored(
+    pub fn apply_stored(
         &mut self,
         verdicts: &[StoredVerdict],
         begun: Time,
@@ -332,7 +342,7 @@
             return;
         }
         self.expire(now);
-        let many_verdicts = self.set_aside() > MOST_SET_ASIDE;
+        let many_verdicts = self.set_aside_count() > MOST_SET_ASIDE;
         let cost = |record: &Record| match record.treatment() {
             Treatment::SetAside if many_verdicts => Treatment::Usual,
             treatment => treatment,
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -22,7 +22,7 @@
 ) -> Option<&DirectCandidate> {
     let mut order: Vec<&DirectCandidate> = candidates.iter().collect();
     let score = |candidate: &DirectCandidate| {
-        xxh3_64_with_seed(&candidate.id_hash.to_le_bytes(), digest.number())
+        xxh3_64_with_seed(&candidate.id_hash.to_le_bytes(), digest.as_u64())
     };
     order.sort_unstable_by_key(|candidate| std::cmp::Reverse(score(candidate)));
     let named = order.into_iter().take(PROBATION_BACK_ENDS);
--- a/crates/stacktack-core/src/direct/quarantine/record.rs
+++ b/crates/stacktack-core/src/direct/quarantine/record.rs
@@ -48,7 +48,7 @@
 
 impl Treatment {
     /// Fixed word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Treatment::Usual => "usual",
             Treatment::Watched => "watched",
@@ -60,15 +60,15 @@
 
 /// A record as routers tell it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RecordNews {
+pub struct RecordGossip {
     /// Which request.
     pub digest: RequestDigest,
     /// Times that it was cleared.
     pub epoch: u32,
     /// Lives that ended under it since; none once it is set aside.
-    pub deaths: Vec<LifeId>,
+    pub crashes: Vec<LifeId>,
     /// Those of them that ended while it was on probation.
-    pub probation_deaths: Vec<LifeId>,
+    pub probation_crashes: Vec<LifeId>,
     /// Whether it is set aside.
     pub set_aside: bool,
     /// Whether the store holds that.
@@ -79,8 +79,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
     pub epoch: u32,
-    deaths: Vec<LifeId>,
-    probation_deaths: Vec<LifeId>,
+    crashes: Vec<LifeId>,
+    probation_crashes: Vec<LifeId>,
     set_aside: bool,
     /// Whether it was a suspect or set aside before its epoch began: others have to hear of that.
     was_suspect: bool,
@@ -98,9 +98,9 @@
     pub fn treatment(&self) -> Treatment {
         if self.set_aside {
             Treatment::SetAside
-        } else if self.deaths.len() >= SUSPECT_DEATHS {
+        } else if self.crashes.len() >= SUSPECT_DEATHS {
             Treatment::Probation
-        } else if self.deaths.is_empty() {
+        } else if self.crashes.is_empty() {
             Treatment::Usual
         } else {
             Treatment::Watched
@@ -113,24 +113,24 @@
         self.was_suspect || self.treatment() > Treatment::Watched
     }
 
-    pub fn deaths(&self) -> usize {
-        self.deaths.len()
+    pub fn crashes(&self) -> usize {
+        self.crashes.len()
     }
 
-    pub fn probation_deaths(&self) -> usize {
-        self.probation_deaths.len()
+    pub fn probation_crashes(&self) -> usize {
+        self.probation_crashes.len()
     }
 
     /// Whether something speaks against it.
     pub fn is_marked(&self) -> bool {
-        self.set_aside || !self.deaths.is_empty()
+        self.set_aside || !self.crashes.is_empty()
     }
 
     /// A life ended under it.
-    pub fn add_death(&mut self, life: LifeId, on_probation: bool, now: Time) {
-        let mut news = insert(&mut self.deaths, life);
+    pub fn add_crash(&mut self, life: LifeId, on_probation: bool, now: Time) {
+        let mut news = insert(&mut self.crashes, life);
         if on_probation {
-            news |= insert(&mut self.probation_deaths, life);
+            news |= insert(&mut self.probation_crashes, life);
         }
         if news {
             self.changed = now;
@@ -141,12 +141,12 @@
 
     /// Whether it is set aside now.
     fn judge(&mut self) {
-        let enough = self.deaths.len() >= VERDICT_DEATHS
-            && self.probation_deaths.len() >= VERDICT_PROBATION_DEATHS;
+        let enough = self.crashes.len() >= VERDICT_DEATHS
+            && self.probation_crashes.len() >= VERDICT_PROBATION_DEATHS;
         self.set_aside |= enough;
     }
 
-    /// It is set aside, whatever is known of deaths.
+    /// It is set aside, whatever is known of crashes.
     pub fn set_aside(&mut self, now: Time) {
         if !self.set_aside {
             self.set_aside = true;
@@ -167,7 +167,7 @@
     }
 
     /// Takes what another router knows.
-    pub fn merge(&mut self, news: &RecordNews, now: Time) {
+    pub fn merge(&mut self, news: &RecordGossip, now: Time) {
         if news.epoch < self.epoch {
             return;
         }
@@ -179,11 +179,11 @@
                 ..Record::default()
             };
         }
-        for life in news.deaths.iter().take(MOST_LIVES) {
-            changed |= insert(&mut self.deaths, *life);
+        for life in news.crashes.iter().take(MOST_LIVES) {
+            changed |= insert(&mut self.crashes, *life);
         }
-        for life in news.probation_deaths.iter().take(MOST_LIVES) {
-            changed |= insert(&mut self.probation_deaths, *life);
+        for life in news.probation_crashes.iter().take(MOST_LIVES) {
+            changed |= insert(&mut self.probation_crashes, *life);
         }
         changed |= news.set_aside && !self.set_aside;
         self.set_aside |= news.set_aside;
@@ -198,16 +198,16 @@
         }
     }
 
-    pub fn news(&self, digest: RequestDigest) -> RecordNews {
+    pub fn gossip(&self, digest: RequestDigest) -> RecordGossip {
         let lives = |lives: &[LifeId]| match self.set_aside {
             true => Vec::new(),
             false => lives.to_vec(),
         };
-        RecordNews {
+        RecordGossip {
             digest,
             epoch: self.epoch,
-            deaths: lives(&self.deaths),
-            probation_deaths: lives(&self.probation_deaths),
+            crashes: lives(&self.crashes),
+            probation_crashes: lives(&self.probation_crashes),
             set_aside: self.set_aside,
             stored: self.stored_since.is_some(),
         }
--- a/crates/stacktack-core/tests/freshness.rs
+++ b/crates/stacktack-core/tests/freshness.rs
@@ -8,9 +8,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::peers::knowledge_age::ToldAge;
-use stacktack_core::direct::peers::peer_news::OwnNews;
-use stacktack_core::direct::peers::{Outgoing, Peers};
+use stacktack_core::direct::peers::peer_gossip::OwnGossip;
+use stacktack_core::direct::peers::source_age::EncodedAge;
+use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::direct::sources::freshness::Freshness;
 use stacktack_core::direct::sources::news_budget::NewsBudget;
 use stacktack_core::direct::sources::watch::{Watch, WatchInputs};
@@ -82,7 +82,7 @@
     random: ChaCha8Rng,
     routers: Vec<Router>,
     budget: NewsBudget,
-    network: Network<Option<(ToldAge, u64)>>,
+    network: Network<Option<(EncodedAge, u64)>>,
     calls: usize,
     oldest: Duration,
     /// The store answers nobody.
@@ -159,13 +159,13 @@
         self.routers[number].freshness.age(self.queue.now)
     }
 
-    fn own_news() -> OwnNews {
-        OwnNews {
+    fn own_news() -> OwnGossip {
+        OwnGossip {
             configuration: 1,
             directory: 1,
-            settled: true,
+            directory_steady: true,
             serving: true,
-            ..OwnNews::default()
+            ..OwnGossip::default()
         }
     }
 
@@ -181,9 +181,9 @@
         self.send(number, outgoing, OTHER_BYTES);
     }
 
-    fn send(&mut self, number: usize, outgoing: Vec<Outgoing>, other_bytes: usize) {
+    fn send(&mut self, number: usize, outgoing: Vec<OutgoingDatagram>, other_bytes: usize) {
         let told_at = self.routers[number].freshness.told_at();
-        let told = self.age(number).and_then(ToldAge::new);
+        let told = self.age(number).and_then(EncodedAge::new);
         let told = told.map(|age| (age, told_at));
         let peers = &mut self.routers[number].peers;
         for outgoing in outgoing {
@@ -228,11 +228,11 @@
 
     fn take_routers(&mut self, number: usize) {
         let peers = &self.routers[number].peers;
-        let Some(from) = peers.to_ask_for_routers(false, &mut self.random) else {
+        let Some(from) = peers.discovery_peer(false, &mut self.random) else {
             return;
         };
-        let told = self.routers[gossip::number(from)].peers.heard_routers();
-        self.routers[number].peers.learn(&told);
+        let told = self.routers[gossip::number(from)].peers.live_routers();
+        self.routers[number].peers.add_addresses(&told);
     }
 
     fn until_due(&self, number: usize) -> Option<Duration> {
@@ -240,7 +240,7 @@
         let inputs = WatchInputs {
             budget: self.budget,
             freshness: router.freshness,
-            routers: router.peers.known(),
+            routers: router.peers.known_routers(),
             lateness: Duration::ZERO,
             watches: router.watches,
         };
@@ -286,7 +286,7 @@
         self.calls += 1;
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        let waits = match (by_look, router.peers.alive()) {
+        let waits = match (by_look, router.peers.live_count()) {
             (true, _) => Duration::ZERO,
             (false, 0) => self.budget.wait_alone(Duration::ZERO),
             (false, _) => self.budget.wait(Duration::ZERO, self.random.random()),
@@ -312,7 +312,7 @@
         }
         let draw = self.random.random();
         let told_at = self.queue.now.since(START).as_millis() as u64 + 1;
-        let has_peers = router.peers.alive() > 0;
+        let has_peers = router.peers.live_count() > 0;
         let goes_on = router
             .watch
             .on_answer(&router.freshness, told_at, has_peers, draw);
@@ -428,7 +428,7 @@
         let known = fleet
             .routers
             .iter()
-            .map(|router| router.peers.known())
+            .map(|router| router.peers.known_routers())
             .min();
         // A router whose first datagrams are all lost is known a little later.
         assert!(
--- a/crates/stacktack-core/tests/gossip/mod.rs
+++ b/crates/stacktack-core/tests/gossip/mod.rs
@@ -6,8 +6,8 @@
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::peers::peer_news::{PeerNews, ZoneHash};
-use stacktack_core::direct::peers::{Outgoing, Peers};
+use stacktack_core::direct::peers::peer_gossip::{PeerGossip, ZoneHash};
+use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::time::Time;
 
 /// Time between rounds of news.
@@ -62,7 +62,7 @@
 /// Datagrams under way, each with something beside its news.
 pub struct Network<T> {
     addresses: HashMap<SocketAddr, usize>,
-    under_way: HashMap<u64, (PeerNews, T)>,
+    under_way: HashMap<u64, (PeerGossip, T)>,
     sent: u64,
 }
 
@@ -83,12 +83,12 @@
     pub fn send_with(
         &mut self,
         from: &mut Peers,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingDatagram,
         beside: T,
         other_bytes: usize,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, u64)> {
-        let bytes = postcard::to_allocvec(&outgoing.news).expect("serializes");
+        let bytes = postcard::to_allocvec(&outgoing.gossip).expect("serializes");
         from.on_sent(bytes.len() + other_bytes);
         if random.random::<f64>() < LOSS {
             return None;
@@ -100,7 +100,7 @@
     }
 
     /// A datagram arrives.
-    pub fn arrive(&mut self, datagram: u64) -> (PeerNews, T) {
+    pub fn arrive(&mut self, datagram: u64) -> (PeerGossip, T) {
         self.under_way.remove(&datagram).expect("is under way")
     }
 }
--- a/crates/stacktack-core/tests/hand_over.rs
+++ b/crates/stacktack-core/tests/hand_over.rs
@@ -1,7 +1,7 @@
 //! How many whole documents a router hands over at once.
 
-use stacktack_core::direct::peers::hand_over::HandOvers;
-use stacktack_core::direct::peers::peer_news::ZoneHash;
+use stacktack_core::direct::peers::peer_gossip::ZoneHash;
+use stacktack_core::direct::peers::snapshot_transfers::SnapshotTransfers;
 use stacktack_core::time::Time;
 
 fn at(milliseconds: u64) -> Time {
@@ -14,7 +14,7 @@
 
 #[test]
 fn another_zone_gets_one_copy_at_a_time() {
-    let mut handed = HandOvers::default();
+    let mut handed = SnapshotTransfers::default();
     let first = handed.begin(zone("b"), at(0)).expect("has room");
     assert_eq!(handed.begin(zone("b"), at(10)), None);
     assert!(handed.begin(zone("c"), at(10)).is_some());
@@ -27,7 +27,7 @@
 /// directory after seconds.
 #[test]
 fn few_of_the_own_zone_share_the_link() {
-    let mut handed = HandOvers::default();
+    let mut handed = SnapshotTransfers::default();
     let begun = (0..75).filter_map(|_| handed.begin(None, at(0)));
     let begun: Vec<u64> = begun.collect();
     assert!((1..=4).contains(&begun.len()), "{begun:?}");
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_peer_that_stopped_while_it_took_a_copy_makes_room() {
-    let mut handed = HandOvers::default();
+    let mut handed = SnapshotTransfers::default();
     assert!(handed.begin(zone("b"), at(0)).is_some());
     assert_eq!(handed.begin(zone("b"), at(900)), None);
     assert!(handed.begin(zone("b"), at(1100)).is_some());
@@ -48,9 +48,9 @@
 #[test]
 fn small_documents_wait_for_no_turn_and_large_ones_do() {
     for (bytes, near, far) in [(2000, 14..=16, 0..=2), (40_000, 1..=4, 1..=1)] {
-        let mut handed = HandOvers::default();
+        let mut handed = SnapshotTransfers::default();
         let first = handed.begin(None, at(0)).expect("has room");
-        handed.note_size(bytes);
+        handed.set_document_bytes(bytes);
         let begun = (0..75).filter(|_| handed.begin(None, at(0)).is_some());
         assert!(near.contains(&begun.count()), "{bytes}");
         let begun = (0..75).filter(|_| handed.begin(zone("b"), at(0)).is_some());
--- a/crates/stacktack-core/tests/load_news/world.rs
+++ b/crates/stacktack-core/tests/load_news/world.rs
@@ -5,7 +5,7 @@
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
 use stacktack_core::direct::back_ends::BackEnds;
-use stacktack_core::direct::peers::peer_news::{LoadNews, OwnNews, ShortId, ZoneHash};
+use stacktack_core::direct::peers::peer_gossip::{LoadGossip, OwnGossip, ShortId, ZoneHash};
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::time::Time;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
 /// What waits at a router that stands still.
 enum Waiting {
     Head { back_end: usize, load: u32 },
-    News(Vec<LoadNews>),
+    News(Vec<LoadGossip>),
 }
 
 struct Router {
@@ -143,8 +143,8 @@
     }
 
     fn take_peer_loads(&mut self) {
-        let loads = self.peers.loads();
-        let fresh = self.peers.tells_all_quickly();
+        let loads = self.peers.in_flight();
+        let fresh = self.peers.has_short_round();
         for back_end in self.back_ends.iter_mut() {
             let short = ShortId::of(back_end.id_hash);
             back_end.load.in_flight_elsewhere = f64::from(loads.get(&short).copied().unwrap_or(0));
@@ -233,7 +233,9 @@
         if self.draw.random_bool(self.plan.told_places) {
             let part = self.draw.random();
             let place = ShortId::of(part);
-            self.routers[router].peers.announce_place(part, place);
+            self.routers[router]
+                .peers
+                .announce_prefix_location(part, place);
         }
         let run = FIRST_BYTE + random_time(&mut self.draw, RUN_SECONDS);
         self.queue
@@ -288,14 +290,14 @@
         if router.unread.is_some() {
             return;
         }
-        let all_loads = router.peers.tells_all_quickly();
-        let own = OwnNews {
+        let all_loads = router.peers.has_short_round();
+        let own = OwnGossip {
             configuration: 1,
             directory: 1,
-            settled: true,
+            directory_steady: true,
             serving: true,
-            loads: router.back_ends.own_loads(all_loads, now),
-            told_loads: if all_loads {
+            in_flight: router.back_ends.own_loads(all_loads, now),
+            reported_loads: if all_loads {
                 Vec::new()
             } else {
                 router.back_ends.told_loads(now)
@@ -305,7 +307,7 @@
         };
         let outgoing = router.peers.tick(&own, now);
         for datagram in outgoing {
-            let bytes = postcard::to_allocvec(&datagram.news).expect("serializes");
+            let bytes = postcard::to_allocvec(&datagram.gossip).expect("serializes");
             self.routers[number].peers.on_sent(bytes.len());
             self.routers[number].sent_bytes += bytes.len() + HEADERS;
             let to = (0..self.plan.routers).find(|to| address(*to) == datagram.to);
@@ -317,8 +319,8 @@
                 continue;
             }
             let receiver = &mut self.routers[to];
-            receiver.peers.receive(&datagram.news, now);
-            let told = Waiting::News(datagram.news.told_loads.clone());
+            receiver.peers.receive(&datagram.gossip, now);
+            let told = Waiting::News(datagram.gossip.reported_loads.clone());
             match &mut receiver.unread {
                 Some(unread) => unread.push(told),
                 None => receiver.read(&told, now),
--- a/crates/stacktack-core/tests/passed_by_members/world.rs
+++ b/crates/stacktack-core/tests/passed_by_members/world.rs
@@ -10,7 +10,9 @@
 use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::part_shares::{PartShares, SharedPool};
 use stacktack_core::direct::choice::select::{select_by_affinity, DirectCandidate, SelectBounds};
-use stacktack_core::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
+use stacktack_core::direct::peers::peer_gossip::{
+    LoadGossip, ShortId, MAX_REPORTED_LOADS_PER_DATAGRAM,
+};
 use stacktack_core::time::Time;
 
 use crate::event_queue::{random_time, EventQueue};
@@ -284,19 +286,22 @@
         let now = self.queue.now;
         for from in 0..self.plan.routers {
             let to = self.draw.random_range(0..self.plan.routers);
-            let mut news: Vec<(usize, LoadNews)> = self.routers[from]
+            let mut news: Vec<(usize, LoadGossip)> = self.routers[from]
                 .iter()
                 .enumerate()
                 .filter_map(|(back_end, load)| {
                     let told = load.told(now)?;
                     let short = ShortId([0, 0, 0]);
-                    Some((back_end, LoadNews::new(short, told.requests, told.at, now)?))
+                    Some((
+                        back_end,
+                        LoadGossip::new(short, told.requests, told.at, now)?,
+                    ))
                 })
                 .collect();
             news.sort_by_key(|(_, load)| load.age());
-            news.truncate(TOLD_LOADS_PER_DATAGRAM);
+            news.truncate(MAX_REPORTED_LOADS_PER_DATAGRAM);
             for (back_end, load) in news {
-                let told_at = load.told_at(now);
+                let told_at = load.reported_at(now);
                 self.routers[to][back_end].on_told(u32::from(load.requests), told_at);
             }
         }
--- a/crates/stacktack-core/tests/peers.rs
+++ b/crates/stacktack-core/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-use stacktack_core::direct::peers::peer_news::{OwnNews, ShortId, ZoneHash};
-use stacktack_core::direct::peers::{Outgoing, Peers};
+use stacktack_core::direct::peers::peer_gossip::{OwnGossip, ShortId, ZoneHash};
+use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::time::Time;
 
 const BYTES_PER_SECOND: f64 = 1600.0;
@@ -33,8 +33,8 @@
 }
 
 /// Bytes of a datagram as it goes over the wire.
-fn length(datagram: &Outgoing) -> usize {
-    postcard::to_allocvec(&datagram.news)
+fn length(datagram: &OutgoingDatagram) -> usize {
+    postcard::to_allocvec(&datagram.gossip)
         .expect("serializes")
         .len()
 }
@@ -54,7 +54,7 @@
     }
 
     /// One round each; what arrives is taken at once.
-    fn round(&mut self, now: Time, own: &[OwnNews]) -> Vec<Outgoing> {
+    fn round(&mut self, now: Time, own: &[OwnGossip]) -> Vec<OutgoingDatagram> {
         let mut all = Vec::new();
         for (index, own) in own.iter().enumerate() {
             for datagram in self.peers[index].tick(own, now) {
@@ -64,7 +64,7 @@
                 let to = self.peers.iter_mut().enumerate();
                 for (number, peer) in to {
                     if address(number as u8) == datagram.to {
-                        peer.receive(&datagram.news, now);
+                        peer.receive(&datagram.gossip, now);
                     }
                 }
                 all.push(datagram);
@@ -78,14 +78,14 @@
     ShortId([5, 0, 0])
 }
 
-fn own(configuration: u64, load: u16) -> OwnNews {
-    OwnNews {
+fn own(configuration: u64, load: u16) -> OwnGossip {
+    OwnGossip {
         configuration,
         directory: configuration,
-        settled: true,
+        directory_steady: true,
         serving: load > 0,
-        loads: vec![(back_end(), load)],
-        told_loads: Vec::new(),
+        in_flight: vec![(back_end(), load)],
+        reported_loads: Vec::new(),
         suspects: Vec::new(),
         zone_drains: Vec::new(),
     }
@@ -98,12 +98,12 @@
     for round in 0..20 {
         fleet.round(at(round * 250), &news);
     }
-    assert_eq!(fleet.peers[0].alive(), 3);
-    assert_eq!(fleet.peers[0].loads().get(&back_end()), Some(&6));
+    assert_eq!(fleet.peers[0].live_count(), 3);
+    assert_eq!(fleet.peers[0].in_flight().get(&back_end()), Some(&6));
     assert!(fleet.peers[0].any_serving());
     fleet.peers[0].tick(&news[0], at(60_000));
-    assert_eq!(fleet.peers[0].alive(), 0);
-    assert!(fleet.peers[0].loads().is_empty());
+    assert_eq!(fleet.peers[0].live_count(), 0);
+    assert!(fleet.peers[0].in_flight().is_empty());
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let most = fleet.sent_bytes.iter().max().copied().unwrap_or(0);
     let allowed = BYTES_PER_SECOND * (seconds + 2) as f64;
     assert!((most as f64) < allowed, "{most} bytes of {allowed}");
-    assert!(fleet.peers.iter().all(|peers| peers.sharing() > 40));
+    assert!(fleet.peers.iter().all(|peers| peers.active_routers() > 40));
 }
 
 #[test]
@@ -152,9 +152,9 @@
     assert_eq!(first.with_newer_configuration(7, &[]), None);
     assert_eq!(first.with_newer_directory(6, &[]), Some(address(2)));
     assert_eq!(first.with_newer_directory(7, &[]), None);
-    assert!(fleet.peers[0].any_settled(at(7 * 250)));
+    assert!(fleet.peers[0].any_directory_steady(at(7 * 250)));
     // What a peer told of its source counts for a moment only.
-    assert!(!fleet.peers[0].any_settled(at(10_000)));
+    assert!(!fleet.peers[0].any_directory_steady(at(10_000)));
     assert!(!fleet.peers[0].any_serving());
 }
 
@@ -168,19 +168,21 @@
         fleet.round(at(round * 250), &news);
     }
     for part in 0..60 {
-        fleet.peers[0].announce_place(part, back_end());
+        fleet.peers[0].announce_prefix_location(part, back_end());
     }
     let mut reached: Vec<HashSet<SocketAddr>> = vec![HashSet::new(); 60];
     for round in 40..120 {
         for datagram in fleet.round(at(round * 250), &news) {
-            for (part, _) in datagram.news.places {
+            for (part, _) in datagram.gossip.prefix_locations {
                 reached[part as usize].insert(datagram.to);
             }
         }
     }
     assert!(reached.iter().all(|peers| peers.len() == 5), "{reached:?}");
     let after = fleet.round(at(30_000), &news);
-    assert!(after.iter().all(|datagram| datagram.news.places.is_empty()));
+    assert!(after
+        .iter()
+        .all(|datagram| datagram.gossip.prefix_locations.is_empty()));
 }
 
 #[test]
@@ -190,11 +192,14 @@
     for round in 0..40 {
         fleet.round(at(round * 250), &news);
     }
-    assert_eq!(fleet.peers[0].sharing(), 8);
+    assert_eq!(fleet.peers[0].active_routers(), 8);
     fleet.peers[0].tick(&news[0], at(20_000));
-    assert_eq!(fleet.peers[0].alive(), 0);
-    assert_eq!(fleet.peers[0].sharing(), 8);
-    assert!(peers(1, &[]).sharing() > 1, "alone is not believed at once");
+    assert_eq!(fleet.peers[0].live_count(), 0);
+    assert_eq!(fleet.peers[0].active_routers(), 8);
+    assert!(
+        peers(1, &[]).active_routers() > 1,
+        "alone is not believed at once"
+    );
 }
 
 #[test]
@@ -202,9 +207,9 @@
     let mut first = peers(0, &[]);
     let mut second = peers(1, &[0]);
     let datagram = second.tick(&own(1, 0), at(250)).remove(0);
-    assert!(first.receive(&datagram.news, at(250)));
-    assert!(!first.receive(&datagram.news, at(500)));
-    let mut restarted = datagram.news.clone();
+    assert!(first.receive(&datagram.gossip, at(250)));
+    assert!(!first.receive(&datagram.gossip, at(500)));
+    let mut restarted = datagram.gossip.clone();
     restarted.incarnation += 1;
     assert!(first.receive(&restarted, at(750)));
 }
@@ -242,7 +247,7 @@
             at(0),
         );
         let datagram = other.tick(&own(revision, 0), at(250)).remove(0);
-        first.receive(&datagram.news, at(250));
+        first.receive(&datagram.gossip, at(250));
     };
     tell(1, "other", 9);
     tell(2, "zone", 7);
@@ -271,7 +276,10 @@
             fleet.round(now, &news);
             let knows_few =
                 |peers: &&Peers| (peers.addresses().len() + 1) * 10 < usize::from(count) * 9;
-            let sure = fleet.peers.iter().filter(|peers| peers.knows_fleet(now));
+            let sure = fleet
+                .peers
+                .iter()
+                .filter(|peers| peers.is_discovery_complete(now));
             let too_early = sure.filter(knows_few).count();
             assert!(
                 too_early <= seeds.len(),
@@ -281,7 +289,7 @@
         let sure = fleet
             .peers
             .iter()
-            .filter(|peers| peers.knows_fleet(at(15_000)));
+            .filter(|peers| peers.is_discovery_complete(at(15_000)));
         println!("routers={count} sure={}", sure.count());
     }
 }
@@ -291,17 +299,17 @@
 fn a_newcomer_that_is_gone_is_not_told() {
     let mut router = peers(1, &[]);
     let mut newcomer = peers(2, &[1]);
-    let knows_nothing = OwnNews::default();
+    let knows_nothing = OwnGossip::default();
     for datagram in newcomer.tick(&knows_nothing, at(100)) {
-        router.receive(&datagram.news, at(100));
+        router.receive(&datagram.gossip, at(100));
     }
-    assert!(router.has_newcomers());
+    assert!(router.has_uninitialized_peers());
     router.tick(&knows_nothing, at(60_000));
-    assert!(!router.has_newcomers());
-    let knows = OwnNews {
+    assert!(!router.has_uninitialized_peers());
+    let knows = OwnGossip {
         configuration: 1,
         directory: 1,
-        ..OwnNews::default()
+        ..OwnGossip::default()
     };
     let mut random = rand::rng();
     assert!(router.push(&knows, true, &mut random).is_empty());
--- a/crates/stacktack-core/tests/quarantine/main.rs
+++ b/crates/stacktack-core/tests/quarantine/main.rs
@@ -11,8 +11,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::back_ends::directory::LifeId;
-use stacktack_core::direct::quarantine::broken_runs::{BrokenRun, BrokenRuns};
-use stacktack_core::direct::quarantine::record::{RecordNews, Treatment};
+use stacktack_core::direct::quarantine::interrupted_runs::{InterruptedRun, InterruptedRuns};
+use stacktack_core::direct::quarantine::record::{RecordGossip, Treatment};
 use stacktack_core::direct::quarantine::{Quarantine, StoredVerdict};
 use stacktack_core::time::Time;
 use world::{digest, life_of, Outcome, Plan, World};
@@ -129,7 +129,7 @@
 fn convicted() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        quarantine.on_death(digest(1), life(number), number > 1, NOW);
+        quarantine.on_crash(digest(1), life(number), number > 1, NOW);
     }
     quarantine
 }
@@ -147,7 +147,7 @@
         (4, true),
         (5, true),
     ] {
-        quarantine.on_death(request, life(number), on_probation, NOW);
+        quarantine.on_crash(request, life(number), on_probation, NOW);
         seen.push(quarantine.treatment(request, NOW));
     }
     let expected = [
@@ -165,13 +165,19 @@
 #[test]
 fn a_good_run_clears_and_the_next_deaths_count_from_none() {
     let mut quarantine = convicted();
-    let change = quarantine.on_good_run(digest(1), NOW).expect("a change");
+    let change = quarantine
+        .on_successful_run(digest(1), NOW)
+        .expect("a change");
     assert_eq!(
-        (change.before, change.now),
+        (change.before, change.after),
         (Treatment::SetAside, Treatment::Usual)
     );
-    assert_eq!(quarantine.to_drop(), [digest(1)], "the store is told");
-    quarantine.on_death(digest(1), life(4), true, NOW);
+    assert_eq!(
+        quarantine.verdicts_to_remove(),
+        [digest(1)],
+        "the store is told"
+    );
+    quarantine.on_crash(digest(1), life(4), true, NOW);
     assert_eq!(quarantine.treatment(digest(1), NOW), Treatment::Watched);
 }
 
@@ -181,17 +187,17 @@
     let mut random = ChaCha8Rng::seed_from_u64(9);
     for _ in 0..200 {
         let mut routers = vec![Quarantine::default(); 4];
-        let mut told: Vec<RecordNews> = Vec::new();
+        let mut told: Vec<RecordGossip> = Vec::new();
         for _ in 0..random.random_range(1..12) {
             let router = random.random_range(0..4);
             let request = digest(random.random_range(0..2));
             if random.random_bool(0.2) {
-                routers[router].on_good_run(request, NOW);
+                routers[router].on_successful_run(request, NOW);
             } else {
                 let life = life(random.random_range(0..6));
-                routers[router].on_death(request, life, random.random_bool(0.5), NOW);
+                routers[router].on_crash(request, life, random.random_bool(0.5), NOW);
             }
-            told.extend(routers[router].told(NOW));
+            told.extend(routers[router].gossip(NOW));
         }
         for router in &mut routers {
             for _ in 0..2 * told.len() {
@@ -220,15 +226,19 @@
         digest: digest(1),
         epoch: 0,
     };
-    assert_eq!(own.to_store(NOW), [verdict]);
+    assert_eq!(own.verdicts_to_write(NOW), [verdict]);
     let mut other = Quarantine::default();
-    other.merge(&own.told(NOW), 1.0, NOW);
-    assert!(other.to_store(NOW + SECOND).is_empty());
-    assert_eq!(other.to_store(NOW + SECOND * 3), [verdict], "if nobody did");
-    own.on_stored(&[verdict], &[], NOW + SECOND);
-    assert!(own.to_store(NOW + SECOND * 9).is_empty());
-    other.merge(&own.told(NOW + SECOND), 1.0, NOW + SECOND);
-    assert!(other.to_store(NOW + SECOND * 9).is_empty());
+    other.merge(&own.gossip(NOW), 1.0, NOW);
+    assert!(other.verdicts_to_write(NOW + SECOND).is_empty());
+    assert_eq!(
+        other.verdicts_to_write(NOW + SECOND * 3),
+        [verdict],
+        "if nobody did"
+    );
+    own.on_verdicts_written(&[verdict], &[], NOW + SECOND);
+    assert!(own.verdicts_to_write(NOW + SECOND * 9).is_empty());
+    other.merge(&own.gossip(NOW + SECOND), 1.0, NOW + SECOND);
+    assert!(other.verdicts_to_write(NOW + SECOND * 9).is_empty());
 }
 
 #[test]
@@ -238,9 +248,9 @@
         epoch: 3,
     };
     let mut started = Quarantine::default();
-    started.take_stored(&[verdict], NOW, NOW);
+    started.apply_stored(&[verdict], NOW, NOW);
     assert_eq!(started.treatment(digest(1), NOW), Treatment::SetAside);
-    assert!(started.to_store(NOW + SECOND * 9).is_empty());
+    assert!(started.verdicts_to_write(NOW + SECOND * 9).is_empty());
 }
 
 #[test]
@@ -250,23 +260,23 @@
         digest: digest(1),
         epoch: 0,
     };
-    quarantine.take_stored(&[], NOW, NOW);
+    quarantine.apply_stored(&[], NOW, NOW);
     assert_eq!(
         quarantine.treatment(digest(1), NOW),
         Treatment::SetAside,
         "not stored yet"
     );
-    quarantine.on_stored(&[verdict], &[], NOW + SECOND);
-    quarantine.take_stored(&[], NOW, NOW + SECOND);
+    quarantine.on_verdicts_written(&[verdict], &[], NOW + SECOND);
+    quarantine.apply_stored(&[], NOW, NOW + SECOND);
     assert_eq!(
         quarantine.treatment(digest(1), NOW),
         Treatment::SetAside,
         "read before it was stored"
     );
-    quarantine.take_stored(&[], NOW + SECOND * 2, NOW + SECOND * 2);
+    quarantine.apply_stored(&[], NOW + SECOND * 2, NOW + SECOND * 2);
     assert_eq!(quarantine.treatment(digest(1), NOW), Treatment::Usual);
     let mut other = convicted();
-    other.merge(&quarantine.told(NOW + SECOND * 2), 0.0, NOW + SECOND * 2);
+    other.merge(&quarantine.gossip(NOW + SECOND * 2), 0.0, NOW + SECOND * 2);
     assert_eq!(
         other.treatment(digest(1), NOW),
         Treatment::Usual,
@@ -277,15 +287,15 @@
 #[test]
 fn an_outdated_verdict_in_the_store_is_dropped() {
     let mut quarantine = convicted();
-    quarantine.on_good_run(digest(1), NOW);
+    quarantine.on_successful_run(digest(1), NOW);
     let verdict = StoredVerdict {
         digest: digest(1),
         epoch: 0,
     };
-    quarantine.on_stored(&[], &[digest(1)], NOW);
-    quarantine.take_stored(&[verdict], NOW, NOW);
+    quarantine.on_verdicts_written(&[], &[digest(1)], NOW);
+    quarantine.apply_stored(&[verdict], NOW, NOW);
     assert_eq!(quarantine.treatment(digest(1), NOW), Treatment::Usual);
-    assert_eq!(quarantine.to_drop(), [digest(1)]);
+    assert_eq!(quarantine.verdicts_to_remove(), [digest(1)]);
 }
 
 /// Whoever ends back ends with ever new requests fills the table, and pushes no verdict out.
@@ -293,7 +303,7 @@
 fn a_flood_of_requests_pushes_no_verdict_out() {
     let mut quarantine = convicted();
     for number in 10..10_000 {
-        quarantine.on_death(digest(number), life(number), true, NOW + SECOND);
+        quarantine.on_crash(digest(number), life(number), true, NOW + SECOND);
     }
     assert_eq!(
         quarantine.treatment(digest(1), NOW + SECOND),
@@ -304,9 +314,9 @@
 #[test]
 fn records_without_a_verdict_are_forgotten_in_the_end() {
     let mut quarantine = convicted();
-    quarantine.on_death(digest(2), life(1), false, NOW);
-    quarantine.on_death(digest(3), life(1), false, NOW);
-    quarantine.on_death(digest(3), life(2), false, NOW);
+    quarantine.on_crash(digest(2), life(1), false, NOW);
+    quarantine.on_crash(digest(3), life(1), false, NOW);
+    quarantine.on_crash(digest(3), life(2), false, NOW);
     let expected = [
         (
             3599,
@@ -336,24 +346,26 @@
 
 #[test]
 fn a_broken_run_counts_only_once_its_back_end_is_known_to_have_ended() {
-    let mut runs = BrokenRuns::default();
-    let run = |number, at| BrokenRun {
+    let mut runs = InterruptedRuns::default();
+    let run = |number, at| InterruptedRun {
         digest: digest(number),
         id: number.to_string(),
         on_probation: false,
         at,
     };
-    runs.note(life(1), run(1, NOW));
-    runs.note(life(1), run(2, NOW + SECOND));
-    runs.note(life(2), run(3, NOW));
+    runs.add(life(1), run(1, NOW));
+    runs.add(life(1), run(2, NOW + SECOND));
+    runs.add(life(2), run(3, NOW));
     assert!(!runs.has_ended(life(1)));
-    let broken = runs.on_ended(life(1), NOW + SECOND * 8);
+    let broken = runs.on_back_end_ended(life(1), NOW + SECOND * 8);
     assert_eq!(
         broken,
         [run(2, NOW + SECOND)],
         "the first is too old to be its doing"
     );
-    assert!(runs.has_ended(life(1)) && !runs.is_waiting(life(1)) && runs.is_waiting(life(2)));
+    assert!(
+        runs.has_ended(life(1)) && !runs.has_unexplained(life(1)) && runs.has_unexplained(life(2))
+    );
     runs.expire(NOW + SECOND * 30);
-    assert!(!runs.has_ended(life(1)) && !runs.is_waiting(life(2)));
+    assert!(!runs.has_ended(life(1)) && !runs.has_unexplained(life(2)));
 }
--- a/crates/stacktack-core/tests/quarantine/world.rs
+++ b/crates/stacktack-core/tests/quarantine/world.rs
@@ -13,11 +13,11 @@
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, LifeId};
 use stacktack_core::direct::back_ends::standing::Standing;
 use stacktack_core::direct::choice::select::DirectCandidate;
-use stacktack_core::direct::peers::peer_news::{OwnNews, PeerNews, ZoneHash};
+use stacktack_core::direct::peers::peer_gossip::{OwnGossip, PeerGossip, ZoneHash};
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::direct::quarantine::digest::{RequestDigest, RequestIdentity};
 use stacktack_core::direct::quarantine::probation::select_for_probation;
-use stacktack_core::direct::quarantine::record::{RecordNews, Treatment};
+use stacktack_core::direct::quarantine::record::{RecordGossip, Treatment};
 use stacktack_core::direct::quarantine::Quarantine;
 use stacktack_core::time::Time;
 use xxhash_rust::xxh3::xxh3_64;
@@ -116,7 +116,7 @@
     random: ChaCha8Rng,
     routers: Vec<Router>,
     numbers: HashMap<SocketAddr, usize>,
-    datagrams: HashMap<u64, (PeerNews, Vec<RecordNews>)>,
+    datagrams: HashMap<u64, (PeerGossip, Vec<RecordGossip>)>,
     sent: u64,
     back_ends: Vec<BackEnd>,
     runs: HashMap<u64, Run>,
@@ -281,9 +281,9 @@
         self.queue.schedule(INTERVAL, Event::Tick(number));
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        let records = router.quarantine.told(now);
-        for datagram in router.peers.tick(&OwnNews::default(), now) {
-            let news = postcard::to_allocvec(&datagram.news).expect("news");
+        let records = router.quarantine.gossip(now);
+        for datagram in router.peers.tick(&OwnGossip::default(), now) {
+            let news = postcard::to_allocvec(&datagram.gossip).expect("news");
             let more = postcard::to_allocvec(&records).expect("records");
             let bytes = news.len() + more.len();
             router.peers.on_sent(bytes);
@@ -292,7 +292,7 @@
             if let (Some(to), false) = (to, self.random.random_bool(LOSS)) {
                 self.sent += 1;
                 self.datagrams
-                    .insert(self.sent, (datagram.news, records.clone()));
+                    .insert(self.sent, (datagram.gossip, records.clone()));
                 let datagram = self.sent;
                 self.queue.schedule(DELAY, Event::Arrive { to, datagram });
             }
@@ -449,7 +449,7 @@
         let now = self.queue.now;
         self.routers[run.router]
             .quarantine
-            .on_good_run(digest(run.request), now);
+            .on_successful_run(digest(run.request), now);
     }
 
     fn end_back_end(&mut self, place: usize) {
@@ -467,7 +467,7 @@
             .collect();
         for run in &broken {
             let quarantine = &mut self.routers[run.router].quarantine;
-            quarantine.on_death(digest(run.request), life, run.on_probation, now);
+            quarantine.on_crash(digest(run.request), life, run.on_probation, now);
         }
         for run in broken {
             let quarantine = &mut self.routers[run.router].quarantine;
--- a/crates/stacktack-core/tests/retry_budget.rs
+++ b/crates/stacktack-core/tests/retry_budget.rs
@@ -17,7 +17,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::peers::peer_news::{OwnNews, ZoneHash};
+use stacktack_core::direct::peers::peer_gossip::{OwnGossip, ZoneHash};
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::direct::request::budget::{BudgetBound, SharedRetryBudget};
 use stacktack_core::time::Time;
@@ -154,9 +154,9 @@
 
 /// Datagrams of all routers, one of each a step.
 fn exchange(routers: &mut [Router], now: Time) {
-    let own = OwnNews {
+    let own = OwnGossip {
         serving: true,
-        ..OwnNews::default()
+        ..OwnGossip::default()
     };
     for from in 0..routers.len() {
         for datagram in routers[from].peers.tick(&own, now) {
@@ -167,7 +167,7 @@
             let [_, _, high, low] = to.octets();
             let to = usize::from(high) * 250 + usize::from(low);
             if let Some(router) = routers.get_mut(to) {
-                router.peers.receive(&datagram.news, now);
+                router.peers.receive(&datagram.gossip, now);
             }
         }
     }
--- a/crates/stacktack-core/tests/rollout/world.rs
+++ b/crates/stacktack-core/tests/rollout/world.rs
@@ -8,8 +8,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::peers::peer_news::OwnNews;
-use stacktack_core::direct::peers::{Outgoing, Peers};
+use stacktack_core::direct::peers::peer_gossip::OwnGossip;
+use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::direct::rollout::exposure::ExposureBound;
 use stacktack_core::direct::rollout::progress::Progress;
 use stacktack_core::direct::rollout::rollout_news::RolloutNews;
@@ -323,19 +323,19 @@
         let rank = write_rank(address(number), router.peers.addresses());
         router.rollouts.set(Some(BOUND), rank);
         let changes = router.rollouts.tick(now);
-        let outgoing = router.peers.tick(&OwnNews::default(), now);
+        let outgoing = router.peers.tick(&OwnGossip::default(), now);
         self.tell(number, &outgoing);
         self.after(number, &changes);
         self.write(number);
     }
 
-    fn tell(&mut self, number: usize, outgoing: &[Outgoing]) {
+    fn tell(&mut self, number: usize, outgoing: &[OutgoingDatagram]) {
         let now = self.queue.now;
         for datagram in outgoing {
             let sender = &mut self.routers[number];
             let told = fitting(sender.rollouts.told(now));
             let bytes = if told.is_empty() { 0 } else { size(&told) };
-            let whole = size(&datagram.news) + OTHER_BYTES + bytes + 28;
+            let whole = size(&datagram.gossip) + OTHER_BYTES + bytes + 28;
             sender.bytes += whole;
             let sent = self.network.send_with(
                 &mut sender.peers,
@@ -366,7 +366,9 @@
     fn after(&mut self, number: usize, changes: &[RolloutChange]) {
         if changes.iter().any(|change| change.alarm) {
             let router = &mut self.routers[number];
-            let outgoing = router.peers.push(&OwnNews::default(), true, &mut self.draw);
+            let outgoing = router
+                .peers
+                .push(&OwnGossip::default(), true, &mut self.draw);
             self.tell(number, &outgoing);
         }
     }
--- a/crates/stacktack-core/tests/welcome.rs
+++ b/crates/stacktack-core/tests/welcome.rs
@@ -12,8 +12,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use stacktack_core::direct::peers::peer_news::OwnNews;
-use stacktack_core::direct::peers::{Outgoing, Peers};
+use stacktack_core::direct::peers::peer_gossip::OwnGossip;
+use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::time::Time;
 
 use event_queue::{random_time, EventQueue};
@@ -133,14 +133,14 @@
         self.tick(number);
     }
 
-    fn own_news(&self, number: usize) -> OwnNews {
+    fn own_news(&self, number: usize) -> OwnGossip {
         let knows = self.routers[number].knew.is_some();
-        OwnNews {
+        OwnGossip {
             configuration: u64::from(knows),
             directory: u64::from(knows),
-            settled: knows,
+            directory_steady: knows,
             serving: knows,
-            ..OwnNews::default()
+            ..OwnGossip::default()
         }
     }
 
@@ -188,7 +188,7 @@
         self.send(number, outgoing, AGE_BYTES);
     }
 
-    fn send(&mut self, number: usize, outgoing: Vec<Outgoing>, other_bytes: usize) {
+    fn send(&mut self, number: usize, outgoing: Vec<OutgoingDatagram>, other_bytes: usize) {
         let peers = &mut self.routers[number].peers;
         for outgoing in outgoing {
             let random = &mut self.random;
@@ -208,7 +208,7 @@
             return;
         }
         router.peers.receive(&news, self.queue.now);
-        if router.knew.is_some() && router.peers.has_newcomers() {
+        if router.knew.is_some() && router.peers.has_uninitialized_peers() {
             self.plan_push(to);
         } else if router.knew.is_none() && news.configuration > 0 {
             self.read(to);
@@ -294,9 +294,9 @@
         }
         fleet.run_for(Duration::from_secs(20));
         for router in &mut fleet.routers[..12] {
-            let news = OwnNews::default();
+            let news = OwnGossip::default();
             router.peers.tick(&news, fleet.queue.now);
-            assert_eq!(router.peers.alive(), 23, "seed {seed}");
+            assert_eq!(router.peers.live_count(), 23, "seed {seed}");
         }
     }
 }
--- a/crates/stacktack-core/tests/zone_drains.rs
+++ b/crates/stacktack-core/tests/zone_drains.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainNews, ZoneDrains};
-use stacktack_core::direct::peers::peer_news::OwnNews;
+use stacktack_core::direct::peers::peer_gossip::OwnGossip;
 use stacktack_core::direct::peers::Peers;
 use stacktack_core::time::Time;
 
@@ -150,13 +150,13 @@
         if router.paused {
             return;
         }
-        let own = OwnNews {
+        let own = OwnGossip {
             configuration: 1,
             directory: 1,
-            settled: true,
+            directory_steady: true,
             serving: true,
-            loads: Vec::new(),
-            told_loads: Vec::new(),
+            in_flight: Vec::new(),
+            reported_loads: Vec::new(),
             suspects: Vec::new(),
             zone_drains: router.drains.told(),
         };
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/back_end_end.rs
@@ -8,7 +8,7 @@
 use futures_util::future::{LocalBoxFuture, Shared};
 use futures_util::FutureExt;
 use stacktack_core::direct::back_ends::directory::{LifeId, VanishedLife};
-use stacktack_core::direct::quarantine::broken_runs::BrokenRun;
+use stacktack_core::direct::quarantine::interrupted_runs::InterruptedRun;
 use stacktack_core::direct::request::attempt::AttemptFailure;
 use stacktack_core::time::Time;
 
@@ -64,14 +64,14 @@
         if !matches!(failure, AttemptFailure::Broken | AttemptFailure::Silent) {
             return None;
         }
-        let run = BrokenRun {
+        let run = InterruptedRun {
             digest: self.digest(),
             id: self.id.clone(),
             on_probation: attempt.on_probation,
             at: self.router.now(),
         };
         let life = attempt.life;
-        self.router.broken_runs.borrow_mut().note(life, run);
+        self.router.broken_runs.borrow_mut().add(life, run);
         let has_ended = self.router.broken_runs.borrow().has_ended(life);
         if has_ended {
             self.router
@@ -133,7 +133,7 @@
     /// requests that it was running.
     pub(crate) fn on_back_end_ended(&self, back_end: &str, life: LifeId, cause: &'static str) {
         let now = self.now();
-        let runs = self.broken_runs.borrow_mut().on_ended(life, now);
+        let runs = self.broken_runs.borrow_mut().on_back_end_ended(life, now);
         let named: Vec<String> = runs
             .iter()
             .take(NAMED)
@@ -152,7 +152,7 @@
         }
         for run in runs {
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.on_death(run.digest, life, run.on_probation, now);
+            let change = quarantine.on_crash(run.digest, life, run.on_probation, now);
             drop(quarantine);
             self.note_treatment(change, "own");
         }
@@ -161,7 +161,7 @@
     /// A request found nobody there. Where runs had broken off and the look at that was lost on
     /// its way, this shows that the back end ended.
     pub(crate) fn on_refused(&self, back_end: &str, life: LifeId) {
-        let waiting = self.broken_runs.borrow().is_waiting(life);
+        let waiting = self.broken_runs.borrow().has_unexplained(life);
         if waiting {
             self.on_back_end_ended(back_end, life, "refused");
         }
@@ -177,7 +177,7 @@
     /// off, the lives that they were known under have ended.
     pub(crate) fn on_vanished(&self, vanished: &[VanishedLife]) {
         for VanishedLife { back_end, life } in vanished {
-            let waiting = self.broken_runs.borrow().is_waiting(*life);
+            let waiting = self.broken_runs.borrow().has_unexplained(*life);
             if waiting {
                 self.on_back_end_ended(back_end, *life, "vanished");
             }
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -14,7 +14,7 @@
     is_home, likely_holder, select_by_affinity, select_by_load, DirectCandidate, SelectBounds,
     Selection,
 };
-use stacktack_core::direct::peers::peer_news::ShortId;
+use stacktack_core::direct::peers::peer_gossip::ShortId;
 
 use crate::candidates::Candidates;
 use crate::exchange::Exchange;
@@ -193,7 +193,7 @@
         if let Some(known) = back_ends.get(back_end) {
             let short = ShortId::of(known.id_hash);
             let mut peers = self.router.peers.borrow_mut();
-            peers.announce_place(part.id, short);
+            peers.announce_prefix_location(part.id, short);
         }
     }
 }
--- a/crates/stacktack-direct/src/datagram.rs
+++ b/crates/stacktack-direct/src/datagram.rs
@@ -3,10 +3,10 @@
 //! send.
 
 use serde::Deserialize;
-use stacktack_core::direct::peers::knowledge_age::{KnowledgeAges, SourceReads};
-use stacktack_core::direct::peers::peer_news::PeerNews;
-use stacktack_core::direct::peers::MAXIMUM_DATAGRAM;
-use stacktack_core::direct::quarantine::record::RecordNews;
+use stacktack_core::direct::peers::peer_gossip::PeerGossip;
+use stacktack_core::direct::peers::source_age::{SourceAges, SourceReads};
+use stacktack_core::direct::peers::MAX_DATAGRAM_BYTES;
+use stacktack_core::direct::quarantine::record::RecordGossip;
 use stacktack_core::direct::rollout::rollout_news::RolloutNews;
 
 /// Most bytes of a datagram that roll-outs get.
@@ -16,11 +16,11 @@
 #[derive(Debug)]
 pub struct Datagram {
     /// News of the sender.
-    pub news: PeerNews,
+    pub news: PeerGossip,
     /// What it knows of requests that end back ends.
-    pub records: Vec<RecordNews>,
+    pub records: Vec<RecordGossip>,
     /// How old what it knows is; nothing from a release that does not tell.
-    pub ages: KnowledgeAges,
+    pub ages: SourceAges,
     /// The last answers of the store that showed it; nothing from a release that does not tell.
     pub reads: SourceReads,
     /// What it knows of roll-outs; nothing where there are none.
@@ -29,16 +29,16 @@
 
 /// Bytes of a datagram; with fewer records where it would be too large.
 pub fn encode(
-    news: &PeerNews,
-    records: &[RecordNews],
-    ages: &KnowledgeAges,
+    news: &PeerGossip,
+    records: &[RecordGossip],
+    ages: &SourceAges,
     reads: &SourceReads,
 ) -> Result<Vec<u8>, postcard::Error> {
     let bytes = postcard::to_allocvec(news)?;
     let ages = postcard::to_allocvec(&(ages, reads))?;
     for count in (0..=records.len()).rev() {
         let more = postcard::to_allocvec(&records[..count])?;
-        if bytes.len() + more.len() + ages.len() <= MAXIMUM_DATAGRAM {
+        if bytes.len() + more.len() + ages.len() <= MAX_DATAGRAM_BYTES {
             return Ok([bytes, more, ages].concat());
         }
     }
@@ -47,9 +47,9 @@
 
 /// The same with roll-outs behind it, where there are any.
 pub fn encode_with_rollouts(
-    news: &PeerNews,
-    records: &[RecordNews],
-    ages: &KnowledgeAges,
+    news: &PeerGossip,
+    records: &[RecordGossip],
+    ages: &SourceAges,
     reads: &SourceReads,
     rollouts: &[RolloutNews],
 ) -> Result<Vec<u8>, postcard::Error> {
@@ -58,7 +58,7 @@
     if rollouts.is_empty() || bytes.len() == postcard::to_allocvec(news)?.len() {
         return Ok(bytes);
     }
-    let room = MAXIMUM_DATAGRAM.saturating_sub(bytes.len());
+    let room = MAX_DATAGRAM_BYTES.saturating_sub(bytes.len());
     let part = fitting(rollouts.to_vec(), room.min(ROLLOUT_BYTES))?;
     Ok([bytes, part].concat())
 }
@@ -80,9 +80,9 @@
 
 /// Reads a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, postcard::Error> {
-    let (news, rest) = postcard::take_from_bytes::<PeerNews>(bytes)?;
-    let (records, rest) = later_part::<Vec<RecordNews>>(rest)?;
-    let (ages, rest) = later_part::<KnowledgeAges>(rest)?;
+    let (news, rest) = postcard::take_from_bytes::<PeerGossip>(bytes)?;
+    let (records, rest) = later_part::<Vec<RecordGossip>>(rest)?;
+    let (ages, rest) = later_part::<SourceAges>(rest)?;
     let (reads, rest) = later_part::<SourceReads>(rest)?;
     let (rollouts, _) = later_part::<Vec<RolloutNews>>(rest)?;
     Ok(Datagram {
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -196,8 +196,8 @@
             return Some(NOTHING_NEW_PAUSE);
         }
         let peers = self.router.peers.borrow();
-        let sharing = if peers.any_settled(now) {
-            peers.alive() + 1
+        let sharing = if peers.any_directory_steady(now) {
+            peers.live_count() + 1
         } else {
             1
         };
@@ -220,7 +220,8 @@
 
     /// Whether the store answered this router, or some peer, long enough.
     fn is_steady(&self, now: Time) -> bool {
-        let answers = self.store.is_steady(now) || self.router.peers.borrow().any_settled(now);
+        let answers =
+            self.store.is_steady(now) || self.router.peers.borrow().any_directory_steady(now);
         answers && self.router.directory_had_no_gap()
     }
 
--- a/crates/stacktack-direct/src/followers/looks.rs
+++ b/crates/stacktack-direct/src/followers/looks.rs
@@ -13,7 +13,7 @@
 /// Wait for news in one call about what is known with an age. A router without peers ends its
 /// wait before it would have to look beside it: the same answer serves for both.
 pub(super) fn wait_for_news(router: &Router, budget: &NewsBudget, age: Duration) -> Duration {
-    if router.peers.borrow().alive() == 0 {
+    if router.peers.borrow().live_count() == 0 {
         budget.wait_alone(age)
     } else {
         budget.wait(age, rand::rng().random())
@@ -23,7 +23,8 @@
 /// Whether peers tell what is new at the source, so that this router leaves it to them.
 pub(super) fn is_informed(router: &Router, budget: &NewsBudget, known: &SourceKnowledge) -> bool {
     let since_learned = known.freshness().since_learned(router.now());
-    router.peers.borrow().alive() > 0 && since_learned.is_some_and(|since| since < budget.watch())
+    router.peers.borrow().live_count() > 0
+        && since_learned.is_some_and(|since| since < budget.watch())
 }
 
 /// When to look at one source.
@@ -60,7 +61,7 @@
             let inputs = WatchInputs {
                 budget,
                 freshness: known.freshness(),
-                routers: router.peers.borrow().known(),
+                routers: router.peers.borrow().known_routers(),
                 lateness,
                 watches,
             };
@@ -111,7 +112,7 @@
         router: &Router,
     ) -> bool {
         let draw = rand::rng().random();
-        let has_peers = router.peers.borrow().alive() > 0;
+        let has_peers = router.peers.borrow().live_count() > 0;
         let freshness = known.freshness();
         let told_at = known.own_told_at(told_at);
         let goes_on = self.watch.on_answer(&freshness, told_at, has_peers, draw);
--- a/crates/stacktack-direct/src/followers/pause.rs
+++ b/crates/stacktack-direct/src/followers/pause.rs
@@ -47,7 +47,7 @@
         self.made += pause;
         let informed = router.version() > 0
             && self.made >= TOLD_STILL
-            && router.peers.borrow().any_settled(router.now());
+            && router.peers.borrow().any_directory_steady(router.now());
         let longest = if informed {
             INFORMED_PAUSE
         } else {
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -140,7 +140,7 @@
     /// Whether a peer of the own zone that was not passed by knows more.
     fn knows_another_near(&self) -> bool {
         self.whom_to_ask().is_some_and(|peer| {
-            !self.passed_by.contains(&peer) && self.router.peers.borrow().is_near(peer)
+            !self.passed_by.contains(&peer) && self.router.peers.borrow().is_in_own_zone(peer)
         })
     }
 
@@ -152,7 +152,7 @@
             Subject::Directory => Known::Directory(self.router.directory_revision()),
         };
         let call = self.source.knowledge(peer, known, transfer.clone());
-        let near = self.router.peers.borrow().is_near(peer);
+        let near = self.router.peers.borrow().is_in_own_zone(peer);
         let answer = while_moving(call, &transfer, PEER_PATIENCE).await;
         let (bytes, ms) = (transfer.bytes(), transfer.elapsed().as_millis());
         match answer {
--- a/crates/stacktack-direct/src/followers/routers.rs
+++ b/crates/stacktack-direct/src/followers/routers.rs
@@ -39,7 +39,7 @@
         let mut failed = false;
         for _ in 0..TRIES {
             let random = &mut rand::rng();
-            let peer = router.peers.borrow().to_ask_for_routers(failed, random);
+            let peer = router.peers.borrow().discovery_peer(failed, random);
             let Some(peer) = peer else { break };
             failed = !learn_from(&router, source.as_ref(), peer).await;
             if !failed {
@@ -57,9 +57,9 @@
         Ok(routers) => {
             let (before, now) = {
                 let mut peers = router.peers.borrow_mut();
-                let before = peers.known();
-                peers.learn(&routers);
-                (before, peers.known())
+                let before = peers.known_routers();
+                peers.add_addresses(&routers);
+                (before, peers.known_routers())
             };
             log::info!(
                 target: "peers",
--- a/crates/stacktack-direct/src/followers/start.rs
+++ b/crates/stacktack-direct/src/followers/start.rs
@@ -64,7 +64,7 @@
         if peer_knows_more && since < LONGEST_FETCH {
             return Some(LOOK);
         }
-        if self.asks_at_once || router.peers.borrow().alive() == 0 {
+        if self.asks_at_once || router.peers.borrow().live_count() == 0 {
             return None;
         }
         let pause = LONGEST_START_OF_ALL.mul_f64(self.draw);
--- a/crates/stacktack-direct/src/followers/verdicts.rs
+++ b/crates/stacktack-direct/src/followers/verdicts.rs
@@ -80,7 +80,7 @@
     async fn step(&mut self) -> Result<(), SourceError> {
         self.write().await?;
         let now = self.router.now();
-        let alone = self.router.peers.borrow().misses_many();
+        let alone = self.router.peers.borrow().lost_most_peers();
         let read_alone = doubled(READ_ALONE, self.failed_reads, LONGEST_READ_ALONE);
         let due_alone = alone && now.since(self.last_read) >= read_alone;
         if now >= self.read_due {
@@ -100,7 +100,10 @@
     async fn write(&self) -> Result<(), SourceError> {
         let (stored, dropped) = {
             let quarantine = self.router.quarantine.borrow();
-            (quarantine.to_store(self.router.now()), quarantine.to_drop())
+            (
+                quarantine.verdicts_to_write(self.router.now()),
+                quarantine.verdicts_to_remove(),
+            )
         };
         if stored.is_empty() && dropped.is_empty() {
             return Ok(());
@@ -120,7 +123,7 @@
         );
         let now = self.router.now();
         let mut quarantine = self.router.quarantine.borrow_mut();
-        quarantine.on_stored(&stored, &dropped, now);
+        quarantine.on_verdicts_written(&stored, &dropped, now);
         Ok(())
     }
 
@@ -131,7 +134,7 @@
         let verdicts = while_moving(call, &transfer, self.store.patience(false)).await?;
         let now = self.router.now();
         let mut quarantine = self.router.quarantine.borrow_mut();
-        let changes: Vec<TreatmentChange> = quarantine.take_stored(&verdicts, begun, now);
+        let changes: Vec<TreatmentChange> = quarantine.apply_stored(&verdicts, begun, now);
         drop(quarantine);
         log::info!(
             target: "quarantine",
@@ -150,7 +153,7 @@
     }
 
     fn until_next_read(&self) -> Duration {
-        let routers = self.router.peers.borrow().known();
+        let routers = self.router.peers.borrow().known_routers();
         let of_fleet = READ_AGAIN_PER_ROUTER.mul_f64(routers as f64);
         let spread = rand::rng().random_range(0.75..=1.25);
         READ_AGAIN.max(of_fleet).mul_f64(spread)
--- a/crates/stacktack-direct/src/freshness.rs
+++ b/crates/stacktack-direct/src/freshness.rs
@@ -3,10 +3,8 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use stacktack_core::direct::peers::knowledge_age::{
-    KnowledgeAges, SourceRead, SourceReads, ToldAge,
-};
-use stacktack_core::direct::peers::peer_news::PeerNews;
+use stacktack_core::direct::peers::peer_gossip::PeerGossip;
+use stacktack_core::direct::peers::source_age::{EncodedAge, SourceAges, SourceRead, SourceReads};
 use stacktack_core::direct::sources::departure::RENEWAL;
 use stacktack_core::direct::sources::freshness::Freshness;
 use stacktack_core::direct::sources::news_budget::NewsBudget;
@@ -94,7 +92,7 @@
             return false;
         }
         self.note_read(claim.read.revision);
-        let told_at = claim.read.told_at;
+        let told_at = claim.read.answered_at_ms;
         let as_of = claim.as_of.filter(|_| told_at > 0);
         as_of.is_some_and(|as_of| self.note(as_of, told_at, budget, now))
     }
@@ -103,7 +101,7 @@
     fn read(&self) -> SourceRead {
         SourceRead {
             revision: self.read_at.get(),
-            told_at: self.freshness.get().told_at(),
+            answered_at_ms: self.freshness.get().told_at(),
         }
     }
 }
@@ -171,13 +169,13 @@
     }
 
     /// Ages to tell peers.
-    pub fn told_ages(&self) -> KnowledgeAges {
+    pub fn told_ages(&self) -> SourceAges {
         // While a departure is held, more than what is told as known has been heard.
         let decided = self.held_departures.borrow().is_empty();
         let directory = self.directory_age().filter(|_| decided);
-        KnowledgeAges {
-            directory: directory.and_then(ToldAge::new),
-            configuration: self.configuration_age().and_then(ToldAge::new),
+        SourceAges {
+            directory: directory.and_then(EncodedAge::new),
+            configuration: self.configuration_age().and_then(EncodedAge::new),
         }
     }
 
@@ -193,9 +191,9 @@
 
     /// Takes how new a peer's knowledge is, where this router knows the same: more than that
     /// has to be fetched first, and less says nothing.
-    pub fn take_ages(&self, news: &PeerNews, ages: &KnowledgeAges, reads: &SourceReads) {
+    pub fn take_ages(&self, news: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
         let now = self.now();
-        let as_of = |told: Option<ToldAge>| told.map(|told| now - told.age());
+        let as_of = |told: Option<EncodedAge>| told.map(|told| now - told.age());
         if self.held_departures.borrow().is_empty() {
             let claim = Claim {
                 revision: news.directory,
--- a/crates/stacktack-direct/src/knowledge.rs
+++ b/crates/stacktack-direct/src/knowledge.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use stacktack_core::direct::back_ends::compact_delta::CompactDelta;
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
-use stacktack_core::direct::peers::hand_over::HandOvers;
+use stacktack_core::direct::peers::snapshot_transfers::SnapshotTransfers;
 use stacktack_core::direct::traffic::configuration_changes::ConfigurationChanges;
 use stacktack_core::direct::traffic::route::{TrafficConfiguration, TrafficDocument};
 
@@ -108,7 +108,7 @@
     }
 
     /// Whole documents of the kind that a router which starts asks for; `None` for one that asks for changes.
-    fn hand_overs(self, router: &Router) -> Option<&RefCell<HandOvers>> {
+    fn hand_overs(self, router: &Router) -> Option<&RefCell<SnapshotTransfers>> {
         match self {
             Known::Configuration(0) => Some(&router.configurations_handed),
             Known::Directory(0) => Some(&router.directories_handed),
@@ -262,7 +262,7 @@
             configuration: None,
             directory: Some(changed_directory(router, revision)),
         },
-        Known::Routers => return written(&router.peers.borrow().heard_routers()),
+        Known::Routers => return written(&router.peers.borrow().live_routers()),
     };
     if path == FULL_PATH {
         return written(&knowledge);
@@ -302,7 +302,7 @@
         let (status, body) = answer_peer(router, path_and_query);
         return (status, body, None);
     };
-    let far = router.peers.borrow().other_zone_of(peer);
+    let far = router.peers.borrow().remote_zone_of(peer);
     let Some(number) = handed.borrow_mut().begin(far, router.now()) else {
         return (StatusCode::SERVICE_UNAVAILABLE, Bytes::new(), None);
     };
@@ -312,7 +312,7 @@
         number,
     };
     let (status, body) = answer_peer(router, path_and_query);
-    handed.borrow_mut().note_size(body.len());
+    handed.borrow_mut().set_document_bytes(body.len());
     (status, body, Some(under_way))
 }
 
--- a/crates/stacktack-direct/src/news.rs
+++ b/crates/stacktack-direct/src/news.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt;
-use stacktack_core::direct::peers::peer_news::{OwnNews, PeerNews};
-use stacktack_core::direct::peers::{Outgoing, MAXIMUM_DATAGRAM};
-use stacktack_core::direct::quarantine::record::RecordNews;
+use stacktack_core::direct::peers::peer_gossip::{OwnGossip, PeerGossip};
+use stacktack_core::direct::peers::{OutgoingDatagram, MAX_DATAGRAM_BYTES};
+use stacktack_core::direct::quarantine::record::RecordGossip;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
@@ -25,7 +25,7 @@
 
 /// Takes datagrams of peers for ever.
 pub async fn receive(router: Rc<Router>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; MAXIMUM_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
             sleep(INTERVAL).await;
@@ -47,12 +47,12 @@
 }
 
 /// Takes what a peer tells of itself and of others.
-pub fn take(router: &Router, news: &PeerNews) {
+pub fn take(router: &Router, news: &PeerGossip) {
     let now = router.now();
     router.note_heard();
     let joined = router.peers.borrow_mut().receive(news, now);
     let has_all = router.version() > 0 && router.directory_revision() > 0;
-    if has_all && router.peers.borrow().has_newcomers() {
+    if has_all && router.peers.borrow().has_uninitialized_peers() {
         router.newcomer_waits.notify_one();
     }
     if news.configuration > router.version() || news.directory > router.directory_revision() {
@@ -69,7 +69,7 @@
         );
     }
     let mut back_ends = router.back_ends.borrow_mut();
-    back_ends.take_told_loads(&news.told_loads, now);
+    back_ends.take_told_loads(&news.reported_loads, now);
     drop(back_ends);
     for drain in &news.zone_drains {
         router.take_zone_drain(drain, "peer");
@@ -77,12 +77,12 @@
     if !news.suspects.is_empty() {
         router.take_accusations(news.from, &news.suspects);
     }
-    if news.places.is_empty() {
+    if news.prefix_locations.is_empty() {
         return;
     }
     let back_ends = router.back_ends.borrow();
     let mut places = router.places.borrow_mut();
-    for (part, short) in &news.places {
+    for (part, short) in &news.prefix_locations {
         if let Some(id) = back_ends.id_of(*short) {
             places.record(*part, id, now);
         }
@@ -90,7 +90,7 @@
 }
 
 /// Takes what a peer knows of requests that end back ends.
-fn take_records(router: &Router, records: &[RecordNews]) {
+fn take_records(router: &Router, records: &[RecordGossip]) {
     if records.is_empty() {
         return;
     }
@@ -135,16 +135,16 @@
     }
 }
 
-fn own_news(router: &Router, store: &Dependency) -> OwnNews {
+fn own_news(router: &Router, store: &Dependency) -> OwnGossip {
     let now = router.now();
-    let all_loads = router.peers.borrow().tells_all_quickly();
-    OwnNews {
+    let all_loads = router.peers.borrow().has_short_round();
+    OwnGossip {
         configuration: router.version(),
         directory: router.directory_revision(),
         serving: router.is_ready(),
-        settled: store.is_steady(now) && router.directory_is_watched(),
-        loads: router.back_ends.borrow().own_loads(all_loads, now),
-        told_loads: if all_loads {
+        directory_steady: store.is_steady(now) && router.directory_is_watched(),
+        in_flight: router.back_ends.borrow().own_loads(all_loads, now),
+        reported_loads: if all_loads {
             Vec::new()
         } else {
             router.back_ends.borrow().told_loads(now)
@@ -160,13 +160,13 @@
     send(router, socket, outgoing).await;
 }
 
-async fn send(router: &Router, socket: &UdpSocket, outgoing: Vec<Outgoing>) {
+async fn send(router: &Router, socket: &UdpSocket, outgoing: Vec<OutgoingDatagram>) {
     let ages = router.told_ages();
     let reads = router.told_reads();
-    let records = router.quarantine.borrow_mut().told(router.now());
+    let records = router.quarantine.borrow_mut().gossip(router.now());
     for datagram in outgoing {
         let rollouts = router.told_rollouts();
-        let bytes = encode_with_rollouts(&datagram.news, &records, &ages, &reads, &rollouts);
+        let bytes = encode_with_rollouts(&datagram.gossip, &records, &ages, &reads, &rollouts);
         let bytes = match bytes {
             Ok(bytes) => bytes,
             Err(error) => {
--- a/crates/stacktack-direct/src/quarantine.rs
+++ b/crates/stacktack-direct/src/quarantine.rs
@@ -55,7 +55,7 @@
             return;
         };
         // That others watch a request changes little here, and there may be dozens for each end.
-        let matters = change.now.max(change.before) > Treatment::Watched;
+        let matters = change.after.max(change.before) > Treatment::Watched;
         let level = match source == "peer" && !matters {
             true => log::Level::Debug,
             false => log::Level::Info,
@@ -65,17 +65,19 @@
             level,
             "request={} treatment={} before={} deaths={} on_probation={} source={source}",
             change.digest,
-            change.now.word(),
-            change.before.word(),
-            change.deaths,
-            change.probation_deaths,
+            change.after.as_str(),
+            change.before.as_str(),
+            change.crashes,
+            change.probation_crashes,
         );
         if matters {
             let quarantine = self.quarantine.borrow();
-            self.metrics
-                .record_quarantine(quarantine.on_probation(), quarantine.set_aside());
+            self.metrics.record_quarantine(
+                quarantine.on_probation_count(),
+                quarantine.set_aside_count(),
+            );
         }
-        if change.now == Treatment::SetAside {
+        if change.after == Treatment::SetAside {
             self.verdicts.send_modify(|verdicts| *verdicts += 1);
         }
     }
@@ -111,7 +113,11 @@
         }
         let now = self.router.now();
         let digest = self.digest();
-        let change = self.router.quarantine.borrow_mut().on_good_run(digest, now);
+        let change = self
+            .router
+            .quarantine
+            .borrow_mut()
+            .on_successful_run(digest, now);
         self.router.note_treatment(change, "good_run");
     }
 
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -16,10 +16,10 @@
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::direct::choice::part_shares::PartShares;
 use stacktack_core::direct::choice::places::PrefixPlaces;
-use stacktack_core::direct::peers::hand_over::HandOvers;
-use stacktack_core::direct::peers::peer_news::{ShortId, ZoneHash};
+use stacktack_core::direct::peers::peer_gossip::{ShortId, ZoneHash};
+use stacktack_core::direct::peers::snapshot_transfers::SnapshotTransfers;
 use stacktack_core::direct::peers::Peers;
-use stacktack_core::direct::quarantine::broken_runs::BrokenRuns;
+use stacktack_core::direct::quarantine::interrupted_runs::InterruptedRuns;
 use stacktack_core::direct::quarantine::Quarantine;
 use stacktack_core::direct::request::budget::SharedRetryBudget;
 use stacktack_core::direct::request::planned_stop::PlannedStop;
@@ -98,9 +98,9 @@
     /// The other routers.
     pub peers: RefCell<Peers>,
     /// Whole directories on their way to peers that start.
-    pub(crate) directories_handed: RefCell<HandOvers>,
+    pub(crate) directories_handed: RefCell<SnapshotTransfers>,
     /// Whole configurations on their way to peers that start.
-    pub(crate) configurations_handed: RefCell<HandOvers>,
+    pub(crate) configurations_handed: RefCell<SnapshotTransfers>,
     /// Newest change of the directory that was heard.
     pub directory_changed: Cell<u64>,
     /// How new what is known of the sources is.
@@ -120,7 +120,7 @@
     /// Back ends that vanished from the directory and may come back.
     pub held_departures: RefCell<HeldDepartures>,
     /// Runs that broke off, until it is known whether their back end ended.
-    pub(crate) broken_runs: RefCell<BrokenRuns>,
+    pub(crate) broken_runs: RefCell<InterruptedRuns>,
     /// Looks at whether back ends still accept connections.
     pub(crate) looks: RefCell<HashMap<LifeId, Look>>,
     /// Requests that end back ends.
@@ -269,7 +269,7 @@
             pool.budget.set_bound(settings.bounds.retries);
         }
         let mut peers = self.peers.borrow_mut();
-        peers.add_seeds(&settings.peers.seeds);
+        peers.set_seeds(&settings.peers.seeds);
     }
 
     /// Version of the configuration in force; 0 for none.
@@ -335,8 +335,8 @@
 
     /// Takes over what the peers have in flight.
     pub fn take_peer_loads(&self) {
-        let loads = self.peers.borrow().loads();
-        let fresh = self.peers.borrow().tells_all_quickly();
+        let loads = self.peers.borrow().in_flight();
+        let fresh = self.peers.borrow().has_short_round();
         for back_end in self.back_ends.borrow_mut().iter_mut() {
             let load = loads.get(&ShortId::of(back_end.id_hash)).copied();
             back_end.load.in_flight_elsewhere = f64::from(load.unwrap_or(0));
@@ -379,7 +379,7 @@
         let fleet = KnownFleet {
             own: self.settings.peers.listen,
             peers: peers.addresses(),
-            is_complete: peers.knows_fleet(now),
+            is_complete: peers.is_discovery_complete(now),
         };
         let mut back_ends = self.back_ends.borrow_mut();
         let warm = back_ends.update_cold(&configuration.slow_starts, &fleet, now);
@@ -458,7 +458,7 @@
 
     /// Routers that send to the same pools, this one among them.
     pub fn routers(&self) -> usize {
-        self.peers.borrow().alive() + 1
+        self.peers.borrow().live_count() + 1
     }
 }
 
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -117,7 +117,7 @@
             self.version,
             self.router.directory_changed.get(),
             self.router.directory_age_text(),
-            self.router.peers.borrow().alive(),
+            self.router.peers.borrow().live_count(),
         );
     }
 
--- a/crates/stacktack-direct/tests/common/steady_peer.rs
+++ b/crates/stacktack-direct/tests/common/steady_peer.rs
@@ -2,21 +2,21 @@
 
 use std::net::SocketAddr;
 
-use stacktack_core::direct::peers::peer_news::{PeerNews, ZoneHash};
+use stacktack_core::direct::peers::peer_gossip::{PeerGossip, ZoneHash};
 
 /// What a peer with these beliefs tells that the store answers steadily.
-pub fn steady_peer(from: SocketAddr, configuration: u64, directory: u64) -> PeerNews {
-    PeerNews {
+pub fn steady_peer(from: SocketAddr, configuration: u64, directory: u64) -> PeerGossip {
+    PeerGossip {
         from,
         incarnation: 1,
         zone: ZoneHash::of("zone"),
         configuration,
         directory,
-        settled: true,
+        directory_steady: true,
         serving: true,
-        loads: Vec::new(),
-        told_loads: Vec::new(),
-        places: Vec::new(),
+        in_flight: Vec::new(),
+        reported_loads: Vec::new(),
+        prefix_locations: Vec::new(),
         suspects: Vec::new(),
         routers: Vec::new(),
         zone_drains: Vec::new(),
--- a/crates/stacktack-direct/tests/datagrams.rs
+++ b/crates/stacktack-direct/tests/datagrams.rs
@@ -6,24 +6,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stacktack_core::direct::peers::knowledge_age::{
-    KnowledgeAges, SourceRead, SourceReads, ToldAge,
-};
-use stacktack_core::direct::peers::peer_news::{PeerNews, ShortId};
-use stacktack_core::direct::peers::MAXIMUM_DATAGRAM;
+use stacktack_core::direct::peers::peer_gossip::{PeerGossip, ShortId};
+use stacktack_core::direct::peers::source_age::{EncodedAge, SourceAges, SourceRead, SourceReads};
+use stacktack_core::direct::peers::MAX_DATAGRAM_BYTES;
 use stacktack_core::direct::quarantine::digest::{RequestDigest, RequestIdentity};
-use stacktack_core::direct::quarantine::record::RecordNews;
+use stacktack_core::direct::quarantine::record::RecordGossip;
 use stacktack_direct::datagram::{decode, encode};
 
 use steady_peer::steady_peer;
 
-fn news() -> PeerNews {
+fn news() -> PeerGossip {
     steady_peer(SocketAddr::from(([127, 0, 0, 1], 10)), 3, 4)
 }
 
-fn ages() -> KnowledgeAges {
-    KnowledgeAges {
-        directory: ToldAge::new(Duration::from_millis(340)),
+fn ages() -> SourceAges {
+    SourceAges {
+        directory: EncodedAge::new(Duration::from_millis(340)),
         configuration: None,
     }
 }
@@ -32,17 +30,17 @@
     SourceReads {
         directory: SourceRead {
             revision: 900,
-            told_at: 70_100,
+            answered_at_ms: 70_100,
         },
         configuration: SourceRead {
             revision: 850,
-            told_at: 70_000,
+            answered_at_ms: 70_000,
         },
     }
 }
 
-fn record(number: u8) -> RecordNews {
-    RecordNews {
+fn record(number: u8) -> RecordGossip {
+    RecordGossip {
         digest: RequestDigest::of(&RequestIdentity {
             caller: "caller",
             method: "GET",
@@ -51,8 +49,8 @@
             body: &[number],
         }),
         epoch: 2,
-        deaths: Vec::new(),
-        probation_deaths: Vec::new(),
+        crashes: Vec::new(),
+        probation_crashes: Vec::new(),
         set_aside: true,
         stored: false,
     }
@@ -74,7 +72,7 @@
 fn ages_of_the_release_before_are_read_without_revisions() {
     let parts = [
         postcard::to_allocvec(&news()).expect("bytes"),
-        postcard::to_allocvec(&Vec::<RecordNews>::new()).expect("bytes"),
+        postcard::to_allocvec(&Vec::<RecordGossip>::new()).expect("bytes"),
         postcard::to_allocvec(&ages()).expect("bytes"),
     ];
     let datagram = decode(&parts.concat()).expect("valid");
@@ -85,7 +83,7 @@
 #[test]
 fn earlier_releases_read_the_news_and_leave_the_rest() {
     let bytes = encode(&news(), &[record(1)], &ages(), &reads()).expect("a datagram");
-    let read: PeerNews = postcard::from_bytes(&bytes).expect("valid there");
+    let read: PeerGossip = postcard::from_bytes(&bytes).expect("valid there");
     assert_eq!(read, news());
 }
 
@@ -95,13 +93,13 @@
     let bytes = [
         0, 127, 0, 0, 1, 10, 1, 160, 155, 1, 3, 4, 1, 1, 0, 0, 0, 0, 0, 0,
     ];
-    let fixture = postcard::from_bytes::<PeerNews>(&bytes);
+    let fixture = postcard::from_bytes::<PeerGossip>(&bytes);
     let written = postcard::to_allocvec(&news()).expect("bytes");
     assert_eq!(written.as_slice(), bytes, "the layout of news is unchanged");
     assert_eq!(fixture.ok(), Some(news()));
     let datagram = decode(&bytes).expect("valid");
     assert!(datagram.records.is_empty());
-    assert_eq!(datagram.ages, KnowledgeAges::default());
+    assert_eq!(datagram.ages, SourceAges::default());
 }
 
 /// A datagram as the release before wrote it: news and records, and nothing behind them.
@@ -113,7 +111,7 @@
     ];
     let datagram = decode(&parts.concat()).expect("valid");
     assert_eq!(datagram.records, [record(1)]);
-    assert_eq!(datagram.ages, KnowledgeAges::default());
+    assert_eq!(datagram.ages, SourceAges::default());
 }
 
 /// What the release before does with a datagram: it reads news, then records, and leaves the
@@ -122,9 +120,9 @@
 fn the_release_before_reads_records_and_leaves_the_ages() {
     for records in [Vec::new(), vec![record(1)]] {
         let bytes = encode(&news(), &records, &ages(), &reads()).expect("a datagram");
-        let (read, rest) = postcard::take_from_bytes::<PeerNews>(&bytes).expect("valid there");
+        let (read, rest) = postcard::take_from_bytes::<PeerGossip>(&bytes).expect("valid there");
         assert_eq!(read, news());
-        let read: Vec<RecordNews> = postcard::from_bytes(rest).expect("valid there");
+        let read: Vec<RecordGossip> = postcard::from_bytes(rest).expect("valid there");
         assert_eq!(read, records);
     }
 }
@@ -132,10 +130,10 @@
 #[test]
 fn records_that_do_not_fit_wait() {
     let mut large = news();
-    large.loads = vec![(ShortId([1, 2, 3]), u16::MAX); 215];
+    large.in_flight = vec![(ShortId([1, 2, 3]), u16::MAX); 215];
     let records: Vec<_> = (0..20).map(record).collect();
     let bytes = encode(&large, &records, &ages(), &reads()).expect("a datagram");
-    assert!(bytes.len() <= MAXIMUM_DATAGRAM);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     let read = decode(&bytes).expect("valid").records;
     assert!(
         read.len() < 20 && read == records[..read.len()],
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -65,7 +65,7 @@
         for number in 0..PEERS {
             let from = SocketAddr::from(([127, 0, 1, number], 9));
             let mut news = steady_peer(from, 0, router.directory_revision());
-            news.settled = settled();
+            news.directory_steady = settled();
             router.peers.borrow_mut().receive(&news, now);
         }
     }
@@ -177,7 +177,7 @@
         loop {
             for from in peers {
                 let mut news = steady_peer(*from, 0, self.peer.directory_revision());
-                news.settled = settled;
+                news.directory_steady = settled;
                 let now = self.router.now();
                 self.router.peers.borrow_mut().receive(&news, now);
             }
--- a/crates/stacktack-direct/tests/followers/main.rs
+++ b/crates/stacktack-direct/tests/followers/main.rs
@@ -15,9 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stacktack_core::direct::peers::knowledge_age::{
-    KnowledgeAges, SourceRead, SourceReads, ToldAge,
-};
+use stacktack_core::direct::peers::source_age::{EncodedAge, SourceAges, SourceRead, SourceReads};
 use stacktack_core::direct::sources::departure::Evidence;
 use stacktack_direct::followers::{follow_directory, take_delta, Dependency};
 use stacktack_direct::router::Router;
@@ -53,7 +51,7 @@
     SourceReads {
         directory: SourceRead {
             revision: 0,
-            told_at: directory.clock(),
+            answered_at_ms: directory.clock(),
         },
         configuration: SourceRead::default(),
     }
@@ -121,8 +119,8 @@
                 let from = SocketAddr::from(([127, 0, 1, number], 9));
                 let news = steady_peer(from, 0, router.directory_revision());
                 router.peers.borrow_mut().receive(&news, now);
-                let ages = KnowledgeAges {
-                    directory: ToldAge::new(Duration::from_millis(600)),
+                let ages = SourceAges {
+                    directory: EncodedAge::new(Duration::from_millis(600)),
                     configuration: None,
                 };
                 router.take_ages(&news, &ages, &reads(&directory));
@@ -157,8 +155,8 @@
         let tell = |revision: u64| {
             let news = steady_peer(from, 0, revision);
             router.peers.borrow_mut().receive(&news, router.now());
-            let ages = KnowledgeAges {
-                directory: ToldAge::new(Duration::from_millis(40)),
+            let ages = SourceAges {
+                directory: EncodedAge::new(Duration::from_millis(40)),
                 configuration: None,
             };
             router.take_ages(&news, &ages, &reads(&directory));
--- a/crates/stacktack-direct/tests/rollout_datagrams.rs
+++ b/crates/stacktack-direct/tests/rollout_datagrams.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stacktack_core::direct::peers::knowledge_age::{KnowledgeAges, SourceReads};
-use stacktack_core::direct::peers::peer_news::PeerNews;
-use stacktack_core::direct::peers::MAXIMUM_DATAGRAM;
+use stacktack_core::direct::peers::peer_gossip::PeerGossip;
+use stacktack_core::direct::peers::source_age::{SourceAges, SourceReads};
+use stacktack_core::direct::peers::MAX_DATAGRAM_BYTES;
 use stacktack_core::direct::rollout::evidence::{AnswerGrade, FleetEvidence, RouteHash};
 use stacktack_core::direct::rollout::order::RolloutOrder;
 use stacktack_core::direct::rollout::rollout_news::RolloutNews;
@@ -19,7 +19,7 @@
 /// Bytes of a datagram that roll-outs may take.
 const MOST_BYTES: usize = 300;
 
-fn news() -> PeerNews {
+fn news() -> PeerGossip {
     steady_peer(SocketAddr::from(([127, 0, 0, 1], 10)), 3, 4)
 }
 
@@ -48,13 +48,13 @@
 }
 
 fn written(rollouts: &[RolloutNews]) -> Vec<u8> {
-    let (ages, reads) = (KnowledgeAges::default(), SourceReads::default());
+    let (ages, reads) = (SourceAges::default(), SourceReads::default());
     encode_with_rollouts(&news(), &[], &ages, &reads, rollouts).expect("a datagram")
 }
 
 #[test]
 fn without_a_roll_out_a_datagram_has_not_one_byte_more() {
-    let (ages, reads) = (KnowledgeAges::default(), SourceReads::default());
+    let (ages, reads) = (SourceAges::default(), SourceReads::default());
     let before = encode(&news(), &[], &ages, &reads).expect("a datagram");
     assert_eq!(written(&[]), before);
     assert!(decode(&before).expect("valid").rollouts.is_empty());
@@ -72,7 +72,7 @@
 fn counts_that_do_not_fit_are_left_out_and_the_order_stays() {
     for (routers, routes) in [(6, 4), (6, 24), (1, 24)] {
         let bytes = written(&[rollout(routers, routes)]);
-        assert!(bytes.len() <= MAXIMUM_DATAGRAM);
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         assert!(bytes.len() <= written(&[]).len() + MOST_BYTES);
         let datagram = decode(&bytes).expect("valid");
         assert_eq!(datagram.rollouts[0].order, rollout(0, 0).order);
--- a/crates/stacktack-direct/tests/verdicts.rs
+++ b/crates/stacktack-direct/tests/verdicts.rs
@@ -101,7 +101,7 @@
     for born in 1..=3 {
         let now = router.now();
         let mut quarantine = router.quarantine.borrow_mut();
-        quarantine.on_death(request(), life(born), true, now);
+        quarantine.on_crash(request(), life(born), true, now);
     }
 }
 
@@ -176,7 +176,10 @@
         after(500).await;
         assert_eq!(store.verdicts.borrow().get(&request()), Some(&1));
         let now = router.now();
-        router.quarantine.borrow_mut().on_good_run(request(), now);
+        router
+            .quarantine
+            .borrow_mut()
+            .on_successful_run(request(), now);
         after(500).await;
         assert!(store.verdicts.borrow().is_empty(), "a run of it ended well");
     })
