--- a/crates/stacktack-direct/src/followers/looks.rs
+++ b/crates/stacktack-direct/src/followers/looks.rs
@@ -13,7 +13,7 @@
 /// Wait for news in one call about what is known with an age. A router without peers ends its
 /// wait before it would have to look beside it: the same answer serves for both.
 pub(super) fn wait_for_news(router: &Router, budget: &StalenessBudget, age: Duration) -> Duration {
-    if router.peers.borrow().alive() == 0 {
+    if router.peers.borrow().live_count() == 0 {
         budget.wait_without_peers(age)
     } else {
         budget.watch_wait(age, rand::rng().random())
@@ -27,7 +27,7 @@
     known: &SourceKnowledge,
 ) -> bool {
     let since_learned = known.freshness().since_learned(router.now());
-    router.peers.borrow().alive() > 0
+    router.peers.borrow().live_count() > 0
         && since_learned.is_some_and(|since| since < budget.watch_period())
 }
 
@@ -65,7 +65,7 @@
             let inputs = WatchInputs {
                 budget,
                 freshness: known.freshness(),
-                routers: router.peers.borrow().known(),
+                routers: router.peers.borrow().known_routers(),
                 lateness,
                 watches,
             };
@@ -116,7 +116,7 @@
         router: &Router,
     ) -> bool {
         let draw = rand::rng().random();
-        let has_peers = router.peers.borrow().alive() > 0;
+        let has_peers = router.peers.borrow().live_count() > 0;
         let freshness = known.freshness();
         let told_at = known.own_told_at(told_at);
         let goes_on = self.watch.on_answer(&freshness, told_at, has_peers, draw);
