--- a/crates/stacktack-core/src/direct/rollout/mod.rs
+++ b/crates/stacktack-core/src/direct/rollout/mod.rs
@@ -7,37 +7,37 @@
 //! is written once, under a condition.
 //!
 //! - [`order`]: what is ordered.
-//! - [`progress`]: states and events of the chart `charts/rollout.toml`.
+//! - [`state`]: states and events of the chart `charts/rollout.toml`.
 //! - [`exposure`]: the share of the requests that may go to an unproved version.
-//! - [`evidence`]: how answers went, in a form that routers can merge.
-//! - [`speed`]: what counts as slow.
-//! - [`harm`]: sequential tests of the new version against the old one.
+//! - [`response_counts`]: how answers went, in a form that routers can merge.
+//! - [`latency`]: what counts as slow.
+//! - [`regression`]: sequential tests of the new version against the old one.
 //! - [`status`]: what the store holds, and conditional writes of it.
-//! - [`rollout_news`]: what routers tell each other.
+//! - [`gossip`]: what routers tell each other.
 
-pub mod evidence;
 pub mod exposure;
-pub mod harm;
+pub mod gossip;
+pub mod latency;
 pub mod order;
-pub mod progress;
-pub mod rollout_news;
+pub mod regression;
+pub mod response_counts;
 mod running;
-pub mod speed;
+pub mod state;
 pub mod status;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::chart::ChartError;
-use crate::direct::rollout::evidence::{AnswerCounts, RouteHash};
 use crate::direct::rollout::exposure::ExposureBound;
-use crate::direct::rollout::harm::Harm;
+use crate::direct::rollout::gossip::RolloutGossip;
+use crate::direct::rollout::latency::LatencyTarget;
 use crate::direct::rollout::order::{OrderError, RolloutOrder};
-use crate::direct::rollout::progress::{Progress, RolloutChart, CHART};
-use crate::direct::rollout::rollout_news::RolloutNews;
+use crate::direct::rollout::regression::Regression;
+use crate::direct::rollout::response_counts::{ResponseCounts, RouteHash};
 use crate::direct::rollout::running::RunningRollout;
-use crate::direct::rollout::speed::SpeedWanted;
-use crate::direct::rollout::status::{StatusWrite, StatusWriteEnd};
+use crate::direct::rollout::state::{RolloutChart, RolloutState, CHART};
+use crate::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use crate::time::Time;
 
 /// Services whose last roll-out is remembered.
@@ -48,7 +48,7 @@
 
 /// Which version of a service a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionSide {
+pub enum VersionSelection {
     /// No roll-out says anything.
     Any,
     /// Not to the new version.
@@ -65,7 +65,7 @@
     /// A peer told it.
     Peer,
     /// The new version does harm.
-    Harm(Harm),
+    Regression(Regression),
     /// The new version's answers are good.
     Proof,
     /// The order's time is over.
@@ -74,11 +74,11 @@
 
 impl RolloutCause {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RolloutCause::Store => "store",
             RolloutCause::Peer => "peer",
-            RolloutCause::Harm(harm) => harm.kind.word(),
+            RolloutCause::Regression(regression) => regression.kind.as_str(),
             RolloutCause::Proof => "proof",
             RolloutCause::Time => "time",
         }
@@ -93,15 +93,15 @@
     /// New version.
     pub version: String,
     /// How far it was.
-    pub before: Progress,
+    pub previous: RolloutState,
     /// How far it is.
-    pub now: Progress,
+    pub current: RolloutState,
     /// Why.
     pub cause: RolloutCause,
     /// Whether others are to hear of it at once.
-    pub alarm: bool,
+    pub is_urgent: bool,
     /// Answers of the new version that are known.
-    pub counts: AnswerCounts,
+    pub counts: ResponseCounts,
     /// This router's requests to the new version.
     pub exposed: u64,
     /// This router's requests to the service since the order.
@@ -110,22 +110,22 @@
 
 /// What became of an order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It is known, or older than the one that is.
-    Known,
+    AlreadyKnown,
     /// It is followed from now on.
-    Begun,
+    Started,
     /// It is followed in place of one whose outcome is open: that one's version gets nothing.
     Replaced {
         /// The version before.
         version: String,
     },
     /// Roll-outs are not served here: no bound is set.
-    Unbounded,
+    NoExposureBound,
     /// It cannot be taken.
-    Refused(OrderError),
+    Invalid(OrderError),
     /// Too many services have roll-outs.
-    TooMany,
+    TooManyServices,
 }
 
 /// Roll-outs of all services as one router sees them.
@@ -156,7 +156,7 @@
     }
 
     /// Sets the bound, and the place of this router among those that write.
-    pub fn set(&mut self, bound: Option<ExposureBound>, rank: usize) {
+    pub fn configure(&mut self, bound: Option<ExposureBound>, rank: usize) {
         self.bound = bound;
         self.rank = rank;
     }
@@ -167,21 +167,21 @@
     }
 
     /// Takes an order.
-    pub fn take_order(&mut self, order: &RolloutOrder, now: Time) -> OrderEnd {
+    pub fn apply_order(&mut self, order: &RolloutOrder, now: Time) -> OrderOutcome {
         if self.bound.is_none() {
-            return OrderEnd::Unbounded;
+            return OrderOutcome::NoExposureBound;
         }
         if let Err(error) = order.check() {
-            return OrderEnd::Refused(error);
+            return OrderOutcome::Invalid(error);
         }
         let known = self.services.get(&order.service);
         if known.is_some_and(|known| known.order.revision >= order.revision) {
-            return OrderEnd::Known;
+            return OrderOutcome::AlreadyKnown;
         }
         if known.is_none() && self.services.len() >= MOST_SERVICES {
-            return OrderEnd::TooMany;
+            return OrderOutcome::TooManyServices;
         }
-        let open = known.filter(|known| !known.progress.is_decided());
+        let open = known.filter(|known| !known.state.is_decided());
         let replaced = open.map(|known| known.order.version.clone());
         let replaced = replaced.filter(|version| *version != order.version);
         if let Some(version) = &replaced {
@@ -192,7 +192,9 @@
         }
         let rollout = RunningRollout::new(order.clone(), self.router, self.rank, &self.chart, now);
         self.services.insert(order.service.clone(), rollout);
-        replaced.map_or(OrderEnd::Begun, |version| OrderEnd::Replaced { version })
+        replaced.map_or(OrderOutcome::Started, |version| OrderOutcome::Replaced {
+            version,
+        })
     }
 
     fn withhold(&mut self, service: &str, version: &str) {
@@ -203,27 +205,29 @@
     }
 
     /// Which version of a service a request may go to.
-    pub fn side(&self, service: &str, is_first_try: bool, now: Time) -> VersionSide {
+    pub fn select_version(&self, service: &str, is_first_try: bool, now: Time) -> VersionSelection {
         match (self.services.get(service), &self.bound) {
-            (Some(rollout), Some(bound)) => rollout.side(bound, is_first_try, now),
-            _ => VersionSide::Any,
+            (Some(rollout), Some(bound)) => rollout.select_version(bound, is_first_try, now),
+            _ => VersionSelection::Any,
         }
     }
 
     /// Whether a back end is of the version that a service's last order named.
-    pub fn is_new(&self, service: &str, version: &str) -> bool {
+    pub fn is_new_version(&self, service: &str, version: &str) -> bool {
         let rollout = self.services.get(service);
         rollout.is_some_and(|rollout| rollout.order.version == version)
     }
 
     /// Whether back ends of a version may get requests at all.
-    pub fn may_send(&self, service: &str, version: &str) -> bool {
+    pub fn may_receive_requests(&self, service: &str, version: &str) -> bool {
         let withheld = self.withheld.get(service);
         if withheld.is_some_and(|withheld| withheld.contains(version)) {
             return false;
         }
         let rollout = self.services.get(service);
-        rollout.is_none_or(|rollout| rollout.order.version != version || rollout.may_send())
+        rollout.is_none_or(|rollout| {
+            rollout.order.version != version || rollout.may_receive_requests()
+        })
     }
 
     /// A request goes to a back end of the new version, or reached one of another.
@@ -237,17 +241,17 @@
     }
 
     /// An answer of a back end: a good one took so long, `None` for a failed one.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         service: &str,
         version: &str,
         route: &str,
         took: Option<Duration>,
-        wanted: SpeedWanted,
+        wanted: LatencyTarget,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
             let is_new = rollout.order.version == version;
-            rollout.on_answer(RouteHash::of(route), is_new, took, wanted);
+            rollout.on_response(RouteHash::of(route), is_new, took, wanted);
         }
     }
 
@@ -264,14 +268,14 @@
     /// changed.
     pub fn merge(
         &mut self,
-        news: &[RolloutNews],
+        news: &[RolloutGossip],
         now: Time,
-    ) -> (Vec<(RolloutOrder, OrderEnd)>, Vec<RolloutChange>) {
+    ) -> (Vec<(RolloutOrder, OrderOutcome)>, Vec<RolloutChange>) {
         let mut taken = Vec::new();
         let mut changes = Vec::new();
         for news in news {
-            match self.take_order(&news.order, now) {
-                OrderEnd::Known => {}
+            match self.apply_order(&news.order, now) {
+                OrderOutcome::AlreadyKnown => {}
                 end => taken.push((news.order.clone(), end)),
             }
             let known = self.services.get_mut(&news.order.service);
@@ -283,29 +287,29 @@
     }
 
     /// What to tell peers.
-    pub fn told(&mut self, now: Time) -> Vec<RolloutNews> {
+    pub fn gossip(&mut self, now: Time) -> Vec<RolloutGossip> {
         let rollouts = self.services.values_mut();
-        rollouts.filter_map(|rollout| rollout.told(now)).collect()
+        rollouts.filter_map(|rollout| rollout.gossip(now)).collect()
     }
 
     /// Writes that are due now.
-    pub fn to_write(&self, now: Time) -> Vec<StatusWrite> {
+    pub fn due_writes(&self, now: Time) -> Vec<StatusWrite> {
         let rollouts = self.services.values();
         rollouts
-            .filter_map(|rollout| rollout.to_write(now))
+            .filter_map(|rollout| rollout.due_write(now))
             .collect()
     }
 
     /// A write ended. Returns what changed.
-    pub fn on_write_end(
+    pub fn on_write_result(
         &mut self,
         write: &StatusWrite,
-        end: &StatusWriteEnd,
+        end: &StatusWriteResult,
         now: Time,
     ) -> Vec<RolloutChange> {
         let known = self.services.get_mut(&write.service);
         let known = known.filter(|known| known.order.revision == write.order_revision);
-        let change = known.and_then(|known| known.on_write_end(write, end, &self.chart, now));
+        let change = known.and_then(|known| known.on_write_result(write, end, &self.chart, now));
         self.after(change.into_iter().collect())
     }
 
@@ -316,14 +320,14 @@
     }
 
     /// How far a service's roll-out is.
-    pub fn progress(&self, service: &str) -> Option<Progress> {
-        self.services.get(service).map(|rollout| rollout.progress)
+    pub fn state(&self, service: &str) -> Option<RolloutState> {
+        self.services.get(service).map(|rollout| rollout.state)
     }
 
     /// Versions that were rolled back get nothing under later orders either.
     fn after(&mut self, changes: Vec<RolloutChange>) -> Vec<RolloutChange> {
         for change in &changes {
-            if change.now == Progress::RolledBack {
+            if change.current == RolloutState::RolledBack {
                 self.withhold(&change.service, &change.version);
             }
         }
--- a/crates/stacktack-core/src/direct/rollout/harm.rs
+++ b/crates/stacktack-core/src/direct/rollout/regression.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use super::evidence::{AnswerCounts, RouteCounts, RouteHash, VersionCounts};
+use super::response_counts::{ResponseCounts, RouteCounts, RouteHash, VersionCounts};
 
 /// Score from which a version is harmful: 10,000 times likelier harmful than not.
 const HARMFUL: f64 = 9.2;
@@ -54,45 +54,45 @@
 
 /// In what a version is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HarmKind {
+pub enum RegressionKind {
     /// More of its answers fail.
     Errors,
     /// More of its answers are slow.
     Slowness,
 }
 
-impl HarmKind {
+impl RegressionKind {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            HarmKind::Errors => "errors",
-            HarmKind::Slowness => "slowness",
+            RegressionKind::Errors => "errors",
+            RegressionKind::Slowness => "slowness",
         }
     }
 }
 
 /// What a version was found harmful by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Harm {
+pub struct Regression {
     /// The route; `None` for all together.
     pub route: Option<RouteHash>,
     /// In what it is worse.
-    pub kind: HarmKind,
+    pub kind: RegressionKind,
     /// Answers of the new version that are known.
-    pub counts: AnswerCounts,
+    pub counts: ResponseCounts,
 }
 
 /// Tests of one version.
 #[derive(Clone, Debug, Default)]
-pub struct HarmTest {
+pub struct RegressionDetector {
     seen: RouteCounts,
     routes: BTreeMap<RouteHash, RouteTest>,
     together: RouteTest,
 }
 
-impl HarmTest {
+impl RegressionDetector {
     /// Takes the counts so far; returns the harm that they show, if any.
-    pub fn take(&mut self, totals: &RouteCounts) -> Option<Harm> {
+    pub fn take(&mut self, totals: &RouteCounts) -> Option<Regression> {
         let mut news = RouteCounts::new();
         let mut all = VersionCounts::default();
         let mut all_news = VersionCounts::default();
@@ -106,7 +106,7 @@
         let mut found = None;
         for (route, news) in &news {
             let test = self.routes.entry(*route).or_default();
-            let harm = test.take(news, &all_news.old).map(|kind| Harm {
+            let harm = test.take(news, &all_news.old).map(|kind| Regression {
                 route: Some(*route),
                 kind,
                 counts: totals.get(route).copied().unwrap_or_default().new,
@@ -117,7 +117,7 @@
         let together = self
             .together
             .take(&all_news, &all_news.old)
-            .map(|kind| Harm {
+            .map(|kind| Regression {
                 route: None,
                 kind,
                 counts: all.new,
@@ -128,10 +128,10 @@
     /// Whether the counts so far speak for the version: over all routes together, and on
     /// each that gets much of the traffic if `on_each` is asked for.
     pub fn is_good(&self, on_each: bool) -> bool {
-        let answers: u32 = self.seen.values().map(|counts| counts.old.answers).sum();
+        let answers: u32 = self.seen.values().map(|counts| counts.old.responses).sum();
         let is_large = |route: &RouteHash| {
             let counts = self.seen.get(route);
-            let old = counts.map_or(0, |counts| counts.old.answers);
+            let old = counts.map_or(0, |counts| counts.old.responses);
             f64::from(old) >= ROUTE_SHARE * f64::from(answers)
         };
         let mut routes = self.routes.iter();
@@ -149,20 +149,20 @@
 
 impl RouteTest {
     /// Takes news of both versions, and of the old one on all routes.
-    fn take(&mut self, news: &VersionCounts, all: &AnswerCounts) -> Option<HarmKind> {
+    fn take(&mut self, news: &VersionCounts, all: &ResponseCounts) -> Option<RegressionKind> {
         let VersionCounts { new, old } = news;
         // Failed answers say nothing of speed.
-        let ran = |counts: &AnswerCounts| counts.answers.saturating_sub(counts.failed);
+        let ran = |counts: &ResponseCounts| counts.responses.saturating_sub(counts.failed);
         let (errors, all_errors) = (old.failed, all.failed);
         self.errors
-            .take_usual((errors, old.answers), (all_errors, all.answers));
+            .take_usual((errors, old.responses), (all_errors, all.responses));
         self.slowness
             .take_usual((old.slow, ran(old)), (all.slow, ran(all)));
-        if self.errors.take(new.failed, new.answers) {
-            return Some(HarmKind::Errors);
+        if self.errors.take(new.failed, new.responses) {
+            return Some(RegressionKind::Errors);
         }
         let is_slow = self.slowness.take(new.slow, ran(new));
-        is_slow.then_some(HarmKind::Slowness)
+        is_slow.then_some(RegressionKind::Slowness)
     }
 
     fn is_good(&self, score: f64) -> bool {
--- a/crates/stacktack-core/src/direct/rollout/evidence.rs
+++ b/crates/stacktack-core/src/direct/rollout/response_counts.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::speed::speed_units;
+use super::latency::log_latency_units;
 
 /// Incarnations of routers whose counts are kept: a fleet of some hundred routers that
 /// restart several times.
@@ -41,58 +41,60 @@
 
 /// How answers of one version went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnswerCounts {
+pub struct ResponseCounts {
     /// Answers, failed ones included.
-    pub answers: u32,
+    pub responses: u32,
     /// Those that failed.
     pub failed: u32,
     /// Those that did not fail and were slow.
     pub slow: u32,
     /// Sum of the logarithms of the times that those took which did not fail.
-    pub speed: u32,
+    pub log_latency_sum: u32,
 }
 
 /// How one answer went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerGrade {
+pub enum ResponseOutcome {
     /// It did not fail.
-    Whole {
+    Succeeded {
         /// Time to its first byte.
-        took: Duration,
+        latency: Duration,
         /// Whether that was slow.
-        slow: bool,
+        is_slow: bool,
     },
     /// It failed.
     Failed,
 }
 
-impl AnswerCounts {
-    fn count(&mut self, grade: AnswerGrade) {
-        self.answers += 1;
+impl ResponseCounts {
+    fn record(&mut self, grade: ResponseOutcome) {
+        self.responses += 1;
         match grade {
-            AnswerGrade::Failed => self.failed += 1,
-            AnswerGrade::Whole { took, slow } => {
-                self.slow += u32::from(slow);
-                self.speed = self.speed.saturating_add(speed_units(took));
+            ResponseOutcome::Failed => self.failed += 1,
+            ResponseOutcome::Succeeded { latency, is_slow } => {
+                self.slow += u32::from(is_slow);
+                self.log_latency_sum = self
+                    .log_latency_sum
+                    .saturating_add(log_latency_units(latency));
             }
         }
     }
 
     /// Adds another count.
-    pub fn add(&mut self, other: &AnswerCounts) {
-        self.answers = self.answers.saturating_add(other.answers);
+    pub fn add(&mut self, other: &ResponseCounts) {
+        self.responses = self.responses.saturating_add(other.responses);
         self.failed = self.failed.saturating_add(other.failed);
         self.slow = self.slow.saturating_add(other.slow);
-        self.speed = self.speed.saturating_add(other.speed);
+        self.log_latency_sum = self.log_latency_sum.saturating_add(other.log_latency_sum);
     }
 
     /// What was counted after an earlier count.
-    pub fn since(&self, earlier: &AnswerCounts) -> AnswerCounts {
-        AnswerCounts {
-            answers: self.answers.saturating_sub(earlier.answers),
+    pub fn since(&self, earlier: &ResponseCounts) -> ResponseCounts {
+        ResponseCounts {
+            responses: self.responses.saturating_sub(earlier.responses),
             failed: self.failed.saturating_sub(earlier.failed),
             slow: self.slow.saturating_sub(earlier.slow),
-            speed: self.speed.saturating_sub(earlier.speed),
+            log_latency_sum: self.log_latency_sum.saturating_sub(earlier.log_latency_sum),
         }
     }
 }
@@ -101,9 +103,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
     /// Of the new version.
-    pub new: AnswerCounts,
+    pub new: ResponseCounts,
     /// Of the old one.
-    pub old: AnswerCounts,
+    pub old: ResponseCounts,
 }
 
 impl VersionCounts {
@@ -127,16 +129,16 @@
 
 /// The counts of one router as routers tell them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvidenceNews {
+pub struct RouterCounts {
     /// Incarnation of the router that counted.
     pub router: u32,
     /// Answers that it counted in all.
-    pub counted: u32,
+    pub responses: u32,
     /// Its counts.
     pub routes: RouteCounts,
 }
 
-impl EvidenceNews {
+impl RouterCounts {
     /// Answers of the new version that failed or were slow.
     fn bad(&self) -> u32 {
         let counts = self.routes.values().map(|counts| counts.new);
@@ -146,9 +148,9 @@
 
 /// Counts of the whole fleet as far as one router knows them.
 #[derive(Clone, Debug)]
-pub struct FleetEvidence {
-    own: EvidenceNews,
-    others: BTreeMap<u32, EvidenceNews>,
+pub struct FleetCounts {
+    own: RouterCounts,
+    others: BTreeMap<u32, RouterCounts>,
     /// Sums of all counts.
     totals: RouteCounts,
     /// Others with new bad answers, the newest last.
@@ -157,13 +159,13 @@
     turn: usize,
 }
 
-impl FleetEvidence {
+impl FleetCounts {
     /// Nothing is counted; `router` is the incarnation of this one.
     pub fn new(router: u32) -> Self {
-        FleetEvidence {
-            own: EvidenceNews {
+        FleetCounts {
+            own: RouterCounts {
                 router,
-                ..EvidenceNews::default()
+                ..RouterCounts::default()
             },
             others: BTreeMap::new(),
             totals: RouteCounts::new(),
@@ -173,7 +175,7 @@
     }
 
     /// An answer of this router's own.
-    pub fn count(&mut self, route: RouteHash, is_new: bool, grade: AnswerGrade) {
+    pub fn record(&mut self, route: RouteHash, is_new: bool, grade: ResponseOutcome) {
         let routes = &mut self.own.routes;
         let is_counted = routes.contains_key(&route) || routes.len() < MOST_ROUTES;
         let route = if is_counted { route } else { RouteHash::OTHERS };
@@ -184,24 +186,24 @@
             } else {
                 &mut counts.old
             };
-            side.count(grade);
+            side.record(grade);
         }
-        self.own.counted += 1;
+        self.own.responses += 1;
     }
 
     /// Takes the counts of another router. Returns whether they are news.
-    pub fn merge(&mut self, news: &EvidenceNews) -> bool {
+    pub fn merge(&mut self, news: &RouterCounts) -> bool {
         if news.router == self.own.router {
             return false;
         }
         let known = self.others.get(&news.router);
-        if known.is_some_and(|known| known.counted >= news.counted) {
+        if known.is_some_and(|known| known.responses >= news.responses) {
             return false;
         }
         if known.is_none() && self.others.len() >= MOST_ROUTERS {
             return false;
         }
-        if news.bad() > known.map_or(0, EvidenceNews::bad) {
+        if news.bad() > known.map_or(0, RouterCounts::bad) {
             self.newest.retain(|router| *router != news.router);
             self.newest.push(news.router);
             if self.newest.len() > TOLD_NEWEST {
@@ -225,15 +227,15 @@
     }
 
     /// Counts to tell others: the own ones, those with the newest bad answers, and some in turn.
-    pub fn told(&mut self) -> Vec<EvidenceNews> {
+    pub fn gossip(&mut self) -> Vec<RouterCounts> {
         let mut told = Vec::new();
-        if self.own.counted > 0 {
+        if self.own.responses > 0 {
             told.push(self.own.clone());
         }
         let newest = self.newest.iter().rev();
         told.extend(newest.filter_map(|router| self.others.get(router).cloned()));
-        let is_told = |news: &&EvidenceNews| self.newest.contains(&news.router);
-        let rest: Vec<&EvidenceNews> = self.others.values().filter(|news| !is_told(news)).collect();
+        let is_told = |news: &&RouterCounts| self.newest.contains(&news.router);
+        let rest: Vec<&RouterCounts> = self.others.values().filter(|news| !is_told(news)).collect();
         let count = rest.len().min(TOLD_IN_TURN);
         let first = self.turn.checked_rem(rest.len()).unwrap_or(0);
         told.extend(
--- a/crates/stacktack-core/src/direct/rollout/running.rs
+++ b/crates/stacktack-core/src/direct/rollout/running.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::evidence::{AnswerCounts, AnswerGrade, FleetEvidence, RouteHash};
 use super::exposure::{Exposure, ExposureBound};
-use super::harm::HarmTest;
+use super::gossip::RolloutGossip;
+use super::latency::{baseline_latency, is_slow, LatencyTarget};
 use super::order::RolloutOrder;
-use super::progress::{Progress, RolloutAction, RolloutChart, RolloutEvent};
-use super::rollout_news::RolloutNews;
-use super::speed::{is_slow, usual_time, SpeedWanted};
-use super::status::{StatusWrite, StatusWriteEnd, StoredState, StoredStatus};
-use super::{RolloutCause, RolloutChange, VersionSide};
+use super::regression::RegressionDetector;
+use super::response_counts::{FleetCounts, ResponseCounts, ResponseOutcome, RouteHash};
+use super::state::{RolloutAction, RolloutChart, RolloutEvent, RolloutState};
+use super::status::{StatusWrite, StatusWriteResult, StoredState, StoredStatus};
+use super::{RolloutCause, RolloutChange, VersionSelection};
 use crate::time::Time;
 
 /// Shares of an order's time: from when the whole traffic may be tried, from when it may
@@ -54,19 +54,19 @@
     pub order: RolloutOrder,
     /// When the order was first heard of, here or elsewhere.
     began: Time,
-    pub progress: Progress,
+    pub state: RolloutState,
     /// What the store holds for this order, and at which revision.
     stored: Option<(StoredState, u64)>,
     /// Revision of the status row, of this order or an earlier one.
     status_revision: u64,
     /// The order is not in the store any more: nothing is written or sent for it.
     withdrawn: bool,
-    harmful: bool,
+    regressed: bool,
     pub exposure: Exposure,
-    evidence: FleetEvidence,
+    evidence: FleetCounts,
     /// What the old version's answers take by route, as of the last judgement.
     usual_times: BTreeMap<RouteHash, Duration>,
-    test: HarmTest,
+    test: RegressionDetector,
     whole_since: Option<Time>,
     write_due: Option<Time>,
     decided_at: Option<Time>,
@@ -85,15 +85,15 @@
         RunningRollout {
             order,
             began: now,
-            progress: chart.initial(),
+            state: chart.initial(),
             stored: None,
             status_revision: 0,
             withdrawn: false,
-            harmful: false,
+            regressed: false,
             exposure: Exposure::new(router),
-            evidence: FleetEvidence::new(router),
+            evidence: FleetCounts::new(router),
             usual_times: BTreeMap::new(),
-            test: HarmTest::default(),
+            test: RegressionDetector::default(),
             whole_since: None,
             write_due: Some(now + write_delay(rank)),
             decided_at: None,
@@ -101,65 +101,72 @@
     }
 
     /// Which version a request may go to.
-    pub fn side(&self, bound: &ExposureBound, is_first_try: bool, now: Time) -> VersionSide {
+    pub fn select_version(
+        &self,
+        bound: &ExposureBound,
+        is_first_try: bool,
+        now: Time,
+    ) -> VersionSelection {
         let exposed = |allowed: bool| match allowed {
-            true => VersionSide::New,
-            false => VersionSide::Old,
+            true => VersionSelection::New,
+            false => VersionSelection::Old,
         };
-        match self.progress {
-            _ if self.withdrawn => VersionSide::Old,
-            Progress::Unannounced | Progress::Stopped | Progress::RolledBack => VersionSide::Old,
-            Progress::Canary => exposed(is_first_try && self.exposure.allows_canary(bound)),
-            Progress::Trial => exposed(is_first_try && self.exposure.allows_trial(bound)),
-            Progress::Whole | Progress::Finished => {
+        match self.state {
+            _ if self.withdrawn => VersionSelection::Old,
+            RolloutState::Unannounced | RolloutState::Stopped | RolloutState::RolledBack => {
+                VersionSelection::Old
+            }
+            RolloutState::Canary => exposed(is_first_try && self.exposure.allows_canary(bound)),
+            RolloutState::Trial => exposed(is_first_try && self.exposure.allows_trial(bound)),
+            RolloutState::Whole | RolloutState::Finished => {
                 let is_control = self.part(now) < CONTROL_UNTIL && self.exposure.is_control();
                 exposed(is_first_try && !is_control)
             }
-            Progress::Completed if self.is_decided_of_late(now, PREFER_COMPLETED) => {
-                VersionSide::New
+            RolloutState::Completed if self.is_decided_of_late(now, PREFER_COMPLETED) => {
+                VersionSelection::New
             }
-            Progress::Completed => VersionSide::Any,
+            RolloutState::Completed => VersionSelection::Any,
         }
     }
 
     /// Whether back ends of the new version may get requests at all.
-    pub fn may_send(&self) -> bool {
-        !self.withdrawn && !matches!(self.progress, Progress::Stopped | Progress::RolledBack)
+    pub fn may_receive_requests(&self) -> bool {
+        !self.withdrawn && !matches!(self.state, RolloutState::Stopped | RolloutState::RolledBack)
     }
 
     /// An answer of this router's own, good or failed; a good one took so long.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         route: RouteHash,
         is_new: bool,
         took: Option<Duration>,
-        wanted: SpeedWanted,
+        wanted: LatencyTarget,
     ) {
-        if self.progress.is_decided() {
+        if self.state.is_decided() {
             return;
         }
         let usual = self.usual_times.get(&route).copied();
-        let grade = took.map_or(AnswerGrade::Failed, |took| AnswerGrade::Whole {
-            took,
-            slow: is_slow(took, usual, wanted),
+        let grade = took.map_or(ResponseOutcome::Failed, |took| ResponseOutcome::Succeeded {
+            latency: took,
+            is_slow: is_slow(took, usual, wanted),
         });
-        self.evidence.count(route, is_new, grade);
+        self.evidence.record(route, is_new, grade);
     }
 
     /// Judges what is known now.
     pub fn judge(&mut self, rank: usize, chart: &RolloutChart, now: Time) -> Vec<RolloutChange> {
         let mut changes = Vec::new();
-        if self.progress.is_decided() {
+        if self.state.is_decided() {
             return changes;
         }
         let totals = self.evidence.totals();
         let times = totals.iter();
         self.usual_times = times
-            .filter_map(|(route, counts)| Some((*route, usual_time(&counts.old)?)))
+            .filter_map(|(route, counts)| Some((*route, baseline_latency(&counts.old)?)))
             .collect();
         if let Some(harm) = self.test.take(totals) {
-            self.harmful = true;
-            let cause = RolloutCause::Harm(harm);
+            self.regressed = true;
+            let cause = RolloutCause::Regression(harm);
             changes.extend(self.step(RolloutEvent::Harmed, cause, rank, chart, now));
         }
         let events = [
@@ -227,12 +234,12 @@
         chart: &RolloutChart,
         now: Time,
     ) -> Option<RolloutChange> {
-        let before = self.progress;
+        let before = self.state;
         let (next, actions) = chart.step(before, event);
         if next == before {
             return None;
         }
-        self.progress = next;
+        self.state = next;
         let mut alarm = false;
         for action in actions {
             match action {
@@ -241,7 +248,7 @@
                 RolloutAction::Alarm => alarm = true,
             }
         }
-        if next == Progress::Whole {
+        if next == RolloutState::Whole {
             self.whole_since = Some(now);
         }
         if next.is_decided() {
@@ -250,10 +257,10 @@
         Some(RolloutChange {
             service: self.order.service.clone(),
             version: self.order.version.clone(),
-            before,
-            now: next,
+            previous: before,
+            current: next,
             cause,
-            alarm,
+            is_urgent: alarm,
             counts: self.counts(),
             exposed: self.exposure.exposed(),
             requests: self.exposure.requests(),
@@ -261,8 +268,8 @@
     }
 
     /// Answers of the new version that are known.
-    fn counts(&self) -> AnswerCounts {
-        let mut sum = AnswerCounts::default();
+    fn counts(&self) -> ResponseCounts {
+        let mut sum = ResponseCounts::default();
         for counts in self.evidence.totals().values() {
             sum.add(&counts.new);
         }
@@ -296,23 +303,23 @@
     /// Takes what a peer tells of the same order.
     pub fn merge(
         &mut self,
-        news: &RolloutNews,
+        news: &RolloutGossip,
         rank: usize,
         chart: &RolloutChart,
         now: Time,
     ) -> Vec<RolloutChange> {
         let mut changes = Vec::new();
         self.began = self.began.min(now - news.age);
-        for evidence in &news.evidence {
+        for evidence in &news.counts {
             self.evidence.merge(evidence);
         }
         if let Some((state, revision)) = news.stored {
             let cause = RolloutCause::Peer;
             changes.extend(self.take_stored(state, revision, cause, chart, now));
         }
-        self.harmful |= news.harmful;
+        self.regressed |= news.regressed;
         let events = [
-            (news.harmful, RolloutEvent::Harmed),
+            (news.regressed, RolloutEvent::Harmed),
             (news.proved, RolloutEvent::Proved),
             (news.passed, RolloutEvent::Passed),
         ];
@@ -330,37 +337,37 @@
 
     /// Whether the whole traffic goes to the new version.
     fn has_whole(&self) -> bool {
-        matches!(self.progress, Progress::Whole | Progress::Finished)
+        matches!(self.state, RolloutState::Whole | RolloutState::Finished)
     }
 
     /// What to tell peers; nothing once all have had time to hear the outcome.
-    pub fn told(&mut self, now: Time) -> Option<RolloutNews> {
-        let is_told = !self.progress.is_decided() || self.is_decided_of_late(now, TELL_DECIDED);
+    pub fn gossip(&mut self, now: Time) -> Option<RolloutGossip> {
+        let is_told = !self.state.is_decided() || self.is_decided_of_late(now, TELL_DECIDED);
         if !is_told || self.withdrawn {
             return None;
         }
-        let evidence = match self.progress.is_decided() {
+        let evidence = match self.state.is_decided() {
             true => Vec::new(),
-            false => self.evidence.told(),
+            false => self.evidence.gossip(),
         };
-        Some(RolloutNews {
+        Some(RolloutGossip {
             order: self.order.clone(),
             age: now.since(self.began),
             stored: self.stored,
-            harmful: self.harmful,
-            proved: self.progress == Progress::Trial || self.has_whole(),
+            regressed: self.regressed,
+            proved: self.state == RolloutState::Trial || self.has_whole(),
             passed: self.has_whole(),
-            evidence,
+            counts: evidence,
         })
     }
 
     /// The write that is due now, if any.
-    pub fn to_write(&self, now: Time) -> Option<StatusWrite> {
+    pub fn due_write(&self, now: Time) -> Option<StatusWrite> {
         let is_due = self.write_due.is_some_and(|due| due <= now) && !self.withdrawn;
-        let state = match self.progress {
-            Progress::Unannounced => StoredState::Running,
-            Progress::Finished => StoredState::Completed,
-            Progress::Stopped => StoredState::RolledBack,
+        let state = match self.state {
+            RolloutState::Unannounced => StoredState::Running,
+            RolloutState::Finished => StoredState::Completed,
+            RolloutState::Stopped => StoredState::RolledBack,
             _ => return None,
         };
         is_due.then(|| StatusWrite {
@@ -373,25 +380,25 @@
     }
 
     /// A write for this order ended.
-    pub fn on_write_end(
+    pub fn on_write_result(
         &mut self,
         write: &StatusWrite,
-        end: &StatusWriteEnd,
+        end: &StatusWriteResult,
         chart: &RolloutChart,
         now: Time,
     ) -> Option<RolloutChange> {
         let cause = RolloutCause::Store;
         match end {
-            StatusWriteEnd::Stored(revision) => {
+            StatusWriteResult::Stored(revision) => {
                 self.take_stored(write.state, *revision, cause, chart, now)
             }
-            StatusWriteEnd::Conflict { order_revision, .. }
+            StatusWriteResult::Conflict { order_revision, .. }
                 if *order_revision != self.order.revision =>
             {
                 self.withdrawn = true;
                 None
             }
-            StatusWriteEnd::Conflict { status, .. } => {
+            StatusWriteResult::Conflict { status, .. } => {
                 self.status_revision = status.as_ref().map_or(0, |status| status.revision);
                 let status = status.as_ref().filter(|status| self.is_own(status))?;
                 self.take_stored(status.state, status.revision, cause, chart, now)
--- a/crates/stacktack-core/src/direct/rollout/progress.rs
+++ b/crates/stacktack-core/src/direct/rollout/state.rs
@@ -9,12 +9,12 @@
 pub const CHART: &str = include_str!("../../../../../charts/rollout.toml");
 
 /// Chart of a roll-out.
-pub type RolloutChart = Chart<Progress, RolloutEvent, RolloutAction>;
+pub type RolloutChart = Chart<RolloutState, RolloutEvent, RolloutAction>;
 
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Progress {
+pub enum RolloutState {
     /// It is not known yet whether the store holds that it runs, or how it ended.
     Unannounced,
     /// A small share of the traffic goes to the new version.
@@ -33,24 +33,24 @@
     RolledBack,
 }
 
-impl Progress {
+impl RolloutState {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Progress::Unannounced => "unannounced",
-            Progress::Canary => "canary",
-            Progress::Trial => "trial",
-            Progress::Whole => "whole",
-            Progress::Finished => "finished",
-            Progress::Stopped => "stopped",
-            Progress::Completed => "completed",
-            Progress::RolledBack => "rolled_back",
+            RolloutState::Unannounced => "unannounced",
+            RolloutState::Canary => "canary",
+            RolloutState::Trial => "trial",
+            RolloutState::Whole => "whole",
+            RolloutState::Finished => "finished",
+            RolloutState::Stopped => "stopped",
+            RolloutState::Completed => "completed",
+            RolloutState::RolledBack => "rolled_back",
         }
     }
 
     /// Whether the store holds the outcome.
     pub fn is_decided(self) -> bool {
-        matches!(self, Progress::Completed | Progress::RolledBack)
+        matches!(self, RolloutState::Completed | RolloutState::RolledBack)
     }
 }
 
--- a/crates/stacktack-core/src/direct/rollout/status.rs
+++ b/crates/stacktack-core/src/direct/rollout/status.rs
@@ -24,7 +24,7 @@
 
 impl StoredState {
     /// Fixed word for logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             StoredState::Running => "running",
             StoredState::Completed => "completed",
@@ -61,7 +61,7 @@
 
 /// How a write of a status ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StatusWriteEnd {
+pub enum StatusWriteResult {
     /// It is stored as of a revision.
     Stored(u64),
     /// Order or status have changed.
--- a/crates/stacktack-core/tests/charts.rs
+++ b/crates/stacktack-core/tests/charts.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use stacktack_core::chart::{Chart, ChartError};
-use stacktack_core::direct::rollout::progress;
+use stacktack_core::direct::rollout::state;
 use stacktack_core::direct::sources::departure;
 use stacktack_core::{dispatch, gate};
 
@@ -29,7 +29,7 @@
     gate::attempt::AttemptChart::parse(gate::attempt::CHART).expect("gate chart");
     dispatch::request::RequestChart::parse(dispatch::request::CHART).expect("router chart");
     departure::SourceChart::parse(departure::CHART).expect("directory chart");
-    progress::RolloutChart::parse(progress::CHART).expect("roll-out chart");
+    state::RolloutChart::parse(state::CHART).expect("roll-out chart");
 }
 
 #[test]
--- a/crates/stacktack-core/tests/rollout/orders.rs
+++ b/crates/stacktack-core/tests/rollout/orders.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use stacktack_core::direct::rollout::evidence::{AnswerGrade, FleetEvidence, RouteHash};
 use stacktack_core::direct::rollout::exposure::ExposureBound;
+use stacktack_core::direct::rollout::latency::LatencyTarget;
 use stacktack_core::direct::rollout::order::{OrderError, RolloutOrder};
-use stacktack_core::direct::rollout::progress::Progress;
-use stacktack_core::direct::rollout::speed::SpeedWanted;
+use stacktack_core::direct::rollout::response_counts::{FleetCounts, ResponseOutcome, RouteHash};
+use stacktack_core::direct::rollout::state::RolloutState;
 use stacktack_core::direct::rollout::status::{
-    StatusWrite, StatusWriteEnd, StoredState, StoredStatus,
+    StatusWrite, StatusWriteResult, StoredState, StoredStatus,
 };
-use stacktack_core::direct::rollout::{OrderEnd, Rollouts, VersionSide};
+use stacktack_core::direct::rollout::{OrderOutcome, Rollouts, VersionSelection};
 use stacktack_core::time::Time;
 
 use crate::world::BOUND;
@@ -18,9 +18,9 @@
 const START: Time = Time(1_000_000);
 const SECOND: Duration = Duration::from_secs(1);
 
-const WANTED: SpeedWanted = SpeedWanted {
+const WANTED: LatencyTarget = LatencyTarget {
     objective: Duration::from_millis(120),
-    reads_prompts: false,
+    needs_prefill: false,
 };
 
 fn order(service: &str, version: &str, revision: u64) -> RolloutOrder {
@@ -33,9 +33,9 @@
 
 /// Answers the write that is due as the store would.
 fn store(rollouts: &mut Rollouts, revision: u64, now: Time) -> Vec<StatusWrite> {
-    let writes = rollouts.to_write(now);
+    let writes = rollouts.due_writes(now);
     for write in &writes {
-        rollouts.on_write_end(write, &StatusWriteEnd::Stored(revision), now);
+        rollouts.on_write_result(write, &StatusWriteResult::Stored(revision), now);
     }
     writes
 }
@@ -60,63 +60,72 @@
     let mut rollouts = rollouts(Some(BOUND));
     let mut order = order("s", "v2", 5);
     order.duration = Duration::ZERO;
-    let end = rollouts.take_order(&order, START);
-    assert_eq!(end, OrderEnd::Refused(OrderError::Duration(0.0)));
-    assert_eq!(rollouts.side("s", true, START), VersionSide::Any);
+    let end = rollouts.apply_order(&order, START);
+    assert_eq!(end, OrderOutcome::Invalid(OrderError::Duration(0.0)));
+    assert_eq!(
+        rollouts.select_version("s", true, START),
+        VersionSelection::Any
+    );
 }
 
 #[test]
 fn without_a_bound_an_order_changes_nothing() {
     let mut rollouts = rollouts(None);
     assert_eq!(
-        rollouts.take_order(&order("s", "v2", 5), START),
-        OrderEnd::Unbounded
+        rollouts.apply_order(&order("s", "v2", 5), START),
+        OrderOutcome::NoExposureBound
+    );
+    assert_eq!(
+        rollouts.select_version("s", true, START),
+        VersionSelection::Any
     );
-    assert_eq!(rollouts.side("s", true, START), VersionSide::Any);
-    assert!(rollouts.may_send("s", "v2"));
-    assert!(rollouts.to_write(START + SECOND).is_empty());
-    assert!(rollouts.told(START + SECOND).is_empty());
+    assert!(rollouts.may_receive_requests("s", "v2"));
+    assert!(rollouts.due_writes(START + SECOND).is_empty());
+    assert!(rollouts.gossip(START + SECOND).is_empty());
 }
 
 #[test]
 fn nothing_goes_to_a_version_before_the_store_holds_that_it_runs() {
     let mut rollouts = rollouts(Some(BOUND));
     assert_eq!(
-        rollouts.take_order(&order("s", "v2", 5), START),
-        OrderEnd::Begun
+        rollouts.apply_order(&order("s", "v2", 5), START),
+        OrderOutcome::Started
+    );
+    assert_eq!(
+        rollouts.select_version("s", true, START),
+        VersionSelection::Old
     );
-    assert_eq!(rollouts.side("s", true, START), VersionSide::Old);
     let writes = store(&mut rollouts, 6, START);
     assert_eq!(writes[0].state, StoredState::Running);
     assert_eq!(
         (writes[0].order_revision, writes[0].status_revision),
         (5, 0)
     );
-    assert_eq!(rollouts.progress("s"), Some(Progress::Canary));
+    assert_eq!(rollouts.state("s"), Some(RolloutState::Canary));
 }
 
 #[test]
 fn a_late_router_learns_the_outcome_and_does_not_write_another() {
     for (state, side) in [
-        (StoredState::Completed, VersionSide::New),
-        (StoredState::RolledBack, VersionSide::Old),
+        (StoredState::Completed, VersionSelection::New),
+        (StoredState::RolledBack, VersionSelection::Old),
     ] {
         let mut rollouts = rollouts(Some(BOUND));
-        rollouts.take_order(&order("s", "v2", 5), START);
-        let write = rollouts.to_write(START).remove(0);
+        rollouts.apply_order(&order("s", "v2", 5), START);
+        let write = rollouts.due_writes(START).remove(0);
         let status = StoredStatus {
             state,
             version: "v2".into(),
             revision: 9,
         };
-        let end = StatusWriteEnd::Conflict {
+        let end = StatusWriteResult::Conflict {
             order_revision: 5,
             status: Some(status),
         };
-        let changes = rollouts.on_write_end(&write, &end, START);
+        let changes = rollouts.on_write_result(&write, &end, START);
         assert_eq!(changes.len(), 1);
-        assert_eq!(rollouts.side("s", true, START), side);
-        assert!(rollouts.to_write(START + 60 * SECOND).is_empty());
+        assert_eq!(rollouts.select_version("s", true, START), side);
+        assert!(rollouts.due_writes(START + 60 * SECOND).is_empty());
         assert!(rollouts.tick(START + 60 * SECOND).is_empty());
     }
 }
@@ -124,19 +133,19 @@
 #[test]
 fn the_outcome_of_an_earlier_order_is_not_taken_for_this_one() {
     let mut rollouts = rollouts(Some(BOUND));
-    rollouts.take_order(&order("s", "v2", 5), START);
-    let write = rollouts.to_write(START).remove(0);
+    rollouts.apply_order(&order("s", "v2", 5), START);
+    let write = rollouts.due_writes(START).remove(0);
     let status = StoredStatus {
         state: StoredState::Completed,
         version: "v2".into(),
         revision: 3,
     };
-    let end = StatusWriteEnd::Conflict {
+    let end = StatusWriteResult::Conflict {
         order_revision: 5,
         status: Some(status),
     };
-    assert!(rollouts.on_write_end(&write, &end, START).is_empty());
-    let again = rollouts.to_write(START);
+    assert!(rollouts.on_write_result(&write, &end, START).is_empty());
+    let again = rollouts.due_writes(START);
     assert_eq!(again[0].state, StoredState::Running);
     assert_eq!(again[0].status_revision, 3);
 }
@@ -144,90 +153,93 @@
 #[test]
 fn an_order_that_is_gone_from_the_store_gets_no_traffic_and_no_writes() {
     let mut rollouts = rollouts(Some(BOUND));
-    rollouts.take_order(&order("s", "v2", 5), START);
-    let write = rollouts.to_write(START).remove(0);
-    let end = StatusWriteEnd::Conflict {
+    rollouts.apply_order(&order("s", "v2", 5), START);
+    let write = rollouts.due_writes(START).remove(0);
+    let end = StatusWriteResult::Conflict {
         order_revision: 0,
         status: None,
     };
-    rollouts.on_write_end(&write, &end, START);
+    rollouts.on_write_result(&write, &end, START);
     assert!(rollouts.is_withdrawn("s"));
-    assert!(!rollouts.may_send("s", "v2"));
-    assert!(rollouts.to_write(START + 60 * SECOND).is_empty());
+    assert!(!rollouts.may_receive_requests("s", "v2"));
+    assert!(rollouts.due_writes(START + 60 * SECOND).is_empty());
 }
 
 #[test]
 fn of_two_orders_for_a_service_the_newer_counts_and_the_other_version_gets_nothing() {
     let mut rollouts = rollouts(Some(BOUND));
-    rollouts.take_order(&order("s", "v2", 5), START);
+    rollouts.apply_order(&order("s", "v2", 5), START);
     store(&mut rollouts, 6, START);
-    let replaced = OrderEnd::Replaced {
+    let replaced = OrderOutcome::Replaced {
         version: "v2".into(),
     };
-    assert_eq!(rollouts.take_order(&order("s", "v3", 8), START), replaced);
+    assert_eq!(rollouts.apply_order(&order("s", "v3", 8), START), replaced);
     assert_eq!(
-        rollouts.take_order(&order("s", "v2", 5), START),
-        OrderEnd::Known
+        rollouts.apply_order(&order("s", "v2", 5), START),
+        OrderOutcome::AlreadyKnown
     );
-    assert!(!rollouts.may_send("s", "v2"));
-    assert!(rollouts.may_send("s", "v3"));
-    assert!(rollouts.may_send("s", "v1"));
+    assert!(!rollouts.may_receive_requests("s", "v2"));
+    assert!(rollouts.may_receive_requests("s", "v3"));
+    assert!(rollouts.may_receive_requests("s", "v1"));
 }
 
 #[test]
 fn orders_for_two_services_do_not_touch_each_other() {
     let mut rollouts = rollouts(Some(BOUND));
-    rollouts.take_order(&order("s", "v2", 5), START);
-    rollouts.take_order(&order("t", "v7", 6), START);
+    rollouts.apply_order(&order("s", "v2", 5), START);
+    rollouts.apply_order(&order("t", "v7", 6), START);
     store(&mut rollouts, 7, START);
     for _ in 0..60 {
         rollouts.on_send("s", "v2");
-        rollouts.on_answer("s", "v2", "route", None, WANTED);
+        rollouts.on_response("s", "v2", "route", None, WANTED);
         rollouts.on_send("s", "v1");
-        rollouts.on_answer("s", "v1", "route", Some(SECOND / 100), WANTED);
+        rollouts.on_response("s", "v1", "route", Some(SECOND / 100), WANTED);
     }
     rollouts.tick(START + SECOND);
-    assert_eq!(rollouts.progress("s"), Some(Progress::Stopped));
-    assert_eq!(rollouts.progress("t"), Some(Progress::Canary));
-    assert_eq!(rollouts.side("u", true, START), VersionSide::Any);
+    assert_eq!(rollouts.state("s"), Some(RolloutState::Stopped));
+    assert_eq!(rollouts.state("t"), Some(RolloutState::Canary));
+    assert_eq!(
+        rollouts.select_version("u", true, START),
+        VersionSelection::Any
+    );
 }
 
 #[test]
 fn a_version_that_nobody_runs_is_given_up_at_its_deadline() {
     let mut rollouts = rollouts(Some(BOUND));
-    rollouts.take_order(&order("s", "v9", 5), START);
+    rollouts.apply_order(&order("s", "v9", 5), START);
     store(&mut rollouts, 6, START);
     for _ in 0..500 {
         rollouts.on_send("s", "v1");
-        rollouts.on_answer("s", "v1", "route", Some(SECOND / 100), WANTED);
+        rollouts.on_response("s", "v1", "route", Some(SECOND / 100), WANTED);
     }
     rollouts.tick(START + 6 * SECOND);
-    assert_eq!(rollouts.progress("s"), Some(Progress::Canary));
+    assert_eq!(rollouts.state("s"), Some(RolloutState::Canary));
     let end = START + 12 * SECOND;
     rollouts.tick(end);
-    assert_eq!(rollouts.to_write(end)[0].state, StoredState::RolledBack);
+    assert_eq!(rollouts.due_writes(end)[0].state, StoredState::RolledBack);
 }
 
 #[test]
 fn counts_are_the_same_whether_they_come_late_twice_or_out_of_order() {
     let route = RouteHash::of("route");
-    let good = AnswerGrade::Whole {
-        took: SECOND / 100,
-        slow: false,
+    let good = ResponseOutcome::Succeeded {
+        latency: SECOND / 100,
+        is_slow: false,
     };
-    let mut sender = FleetEvidence::new(1);
+    let mut sender = FleetCounts::new(1);
     let mut told = Vec::new();
     for count in 0..40 {
         let grade = if count % 4 == 0 {
-            AnswerGrade::Failed
+            ResponseOutcome::Failed
         } else {
             good
         };
-        sender.count(route, count % 2 == 0, grade);
-        told.extend(sender.told());
+        sender.record(route, count % 2 == 0, grade);
+        told.extend(sender.gossip());
     }
-    let mut in_order = FleetEvidence::new(2);
-    let mut any_order = FleetEvidence::new(2);
+    let mut in_order = FleetCounts::new(2);
+    let mut any_order = FleetCounts::new(2);
     for news in &told {
         in_order.merge(news);
     }
@@ -236,17 +248,17 @@
     }
     assert_eq!(in_order.totals(), any_order.totals());
     assert_eq!(in_order.totals(), sender.totals());
-    assert_eq!(any_order.totals()[&route].new.answers, 20);
+    assert_eq!(any_order.totals()[&route].new.responses, 20);
 }
 
 #[test]
 fn counts_of_a_router_that_starts_anew_add_to_those_before() {
     let route = RouteHash::of("route");
-    let mut known = FleetEvidence::new(9);
+    let mut known = FleetCounts::new(9);
     for incarnation in [1, 2] {
-        let mut router = FleetEvidence::new(incarnation);
-        router.count(route, true, AnswerGrade::Failed);
-        for news in router.told() {
+        let mut router = FleetCounts::new(incarnation);
+        router.record(route, true, ResponseOutcome::Failed);
+        for news in router.gossip() {
             assert!(known.merge(&news));
             assert!(!known.merge(&news));
         }
--- a/crates/stacktack-core/tests/rollout/store.rs
+++ b/crates/stacktack-core/tests/rollout/store.rs
@@ -5,7 +5,7 @@
 
 use stacktack_core::direct::rollout::order::RolloutOrder;
 use stacktack_core::direct::rollout::status::{
-    StatusWrite, StatusWriteEnd, StoredState, StoredStatus,
+    StatusWrite, StatusWriteResult, StoredState, StoredStatus,
 };
 use stacktack_core::time::Time;
 
@@ -52,11 +52,11 @@
     }
 
     /// Takes a write if its condition holds.
-    pub fn apply(&mut self, write: &StatusWrite, now: Time) -> StatusWriteEnd {
+    pub fn apply(&mut self, write: &StatusWrite, now: Time) -> StatusWriteResult {
         let order_revision = self.order().map_or(0, |order| order.revision);
         let known = self.status.as_ref().map_or(0, |status| status.revision);
         if write.order_revision != order_revision || write.status_revision != known {
-            return StatusWriteEnd::Conflict {
+            return StatusWriteResult::Conflict {
                 order_revision,
                 status: self.status.clone(),
             };
@@ -71,6 +71,6 @@
             self.outcomes.push(write.state);
             self.decided_after = Some(self.since_order(now));
         }
-        StatusWriteEnd::Stored(self.revision)
+        StatusWriteResult::Stored(self.revision)
     }
 }
--- a/crates/stacktack-core/tests/rollout/world.rs
+++ b/crates/stacktack-core/tests/rollout/world.rs
@@ -11,11 +11,11 @@
 use stacktack_core::direct::peers::peer_news::OwnNews;
 use stacktack_core::direct::peers::{Outgoing, Peers};
 use stacktack_core::direct::rollout::exposure::ExposureBound;
-use stacktack_core::direct::rollout::progress::Progress;
-use stacktack_core::direct::rollout::rollout_news::RolloutNews;
-use stacktack_core::direct::rollout::speed::SpeedWanted;
-use stacktack_core::direct::rollout::status::{write_rank, StatusWrite, StatusWriteEnd};
-use stacktack_core::direct::rollout::{RolloutChange, Rollouts, VersionSide};
+use stacktack_core::direct::rollout::gossip::RolloutGossip;
+use stacktack_core::direct::rollout::latency::LatencyTarget;
+use stacktack_core::direct::rollout::state::RolloutState;
+use stacktack_core::direct::rollout::status::{write_rank, StatusWrite, StatusWriteResult};
+use stacktack_core::direct::rollout::{RolloutChange, Rollouts, VersionSelection};
 use stacktack_core::time::Time;
 
 use crate::event_queue::{random_time, EventQueue};
@@ -40,9 +40,9 @@
 /// Most bytes of one datagram that roll-outs get.
 const ROLLOUT_BYTES: usize = 300;
 
-const WANTED: SpeedWanted = SpeedWanted {
+const WANTED: LatencyTarget = LatencyTarget {
     objective: Duration::from_millis(120),
-    reads_prompts: false,
+    needs_prefill: false,
 };
 
 /// Time after the 50th bad answer from which no request may go to the new version.
@@ -87,14 +87,14 @@
     life: u32,
     write: StatusWrite,
     is_told: bool,
-    end: Option<StatusWriteEnd>,
+    end: Option<StatusWriteResult>,
 }
 
 pub struct World {
     plan: Plan,
     draw: ChaCha8Rng,
     queue: EventQueue<Event>,
-    network: Network<Vec<RolloutNews>>,
+    network: Network<Vec<RolloutGossip>>,
     routers: Vec<Router>,
     store: Store,
     writes: Vec<Write>,
@@ -221,7 +221,7 @@
         let now = self.queue.now;
         if let Some(order) = self.store.order() {
             if !self.routers[router].cut_off {
-                self.routers[router].rollouts.take_order(order, now);
+                self.routers[router].rollouts.apply_order(order, now);
             }
         }
     }
@@ -251,14 +251,15 @@
         let fault = self.fault_on(route);
         let now = self.queue.now;
         let sender = &mut self.routers[router];
-        let side = sender.rollouts.side(SERVICE, !retry, now);
-        let is_new = side == VersionSide::New && sender.rollouts.may_send(SERVICE, NEW);
+        let side = sender.rollouts.select_version(SERVICE, !retry, now);
+        let is_new =
+            side == VersionSelection::New && sender.rollouts.may_receive_requests(SERVICE, NEW);
         let version = if is_new { NEW } else { OLD };
         sender.rollouts.on_send(SERVICE, version);
         let is_open = !sender
             .rollouts
-            .progress(SERVICE)
-            .is_some_and(Progress::is_decided);
+            .state(SERVICE)
+            .is_some_and(RolloutState::is_decided);
         if !is_over && !sender.cut_off {
             self.outcome.requests += 1;
             self.outcome.exposed += u64::from(is_new);
@@ -268,7 +269,7 @@
         }
         sender.requests += 1;
         sender.exposed += u64::from(is_new);
-        if is_open && sender.rollouts.progress(SERVICE) <= Some(Progress::Trial) {
+        if is_open && sender.rollouts.state(SERVICE) <= Some(RolloutState::Trial) {
             let excess = sender.exposed as f64 - BOUND.share * sender.requests as f64;
             self.outcome.own_excess = self.outcome.own_excess.max(excess);
         }
@@ -310,7 +311,7 @@
     fn answer(&mut self, router: usize, is_new: bool, route: usize, took: Option<Duration>) {
         let version = if is_new { NEW } else { OLD };
         let rollouts = &mut self.routers[router].rollouts;
-        rollouts.on_answer(SERVICE, version, ROUTES[route], took, WANTED);
+        rollouts.on_response(SERVICE, version, ROUTES[route], took, WANTED);
     }
 
     fn tick(&mut self, number: usize) {
@@ -321,7 +322,7 @@
             return;
         }
         let rank = write_rank(address(number), router.peers.addresses());
-        router.rollouts.set(Some(BOUND), rank);
+        router.rollouts.configure(Some(BOUND), rank);
         let changes = router.rollouts.tick(now);
         let outgoing = router.peers.tick(&OwnNews::default(), now);
         self.tell(number, &outgoing);
@@ -333,7 +334,7 @@
         let now = self.queue.now;
         for datagram in outgoing {
             let sender = &mut self.routers[number];
-            let told = fitting(sender.rollouts.told(now));
+            let told = fitting(sender.rollouts.gossip(now));
             let bytes = if told.is_empty() { 0 } else { size(&told) };
             let whole = size(&datagram.news) + OTHER_BYTES + bytes + 28;
             sender.bytes += whole;
@@ -364,7 +365,7 @@
 
     /// What is urgent goes to a few at once.
     fn after(&mut self, number: usize, changes: &[RolloutChange]) {
-        if changes.iter().any(|change| change.alarm) {
+        if changes.iter().any(|change| change.is_urgent) {
             let router = &mut self.routers[number];
             let outgoing = router.peers.push(&OwnNews::default(), true, &mut self.draw);
             self.tell(number, &outgoing);
@@ -374,7 +375,7 @@
     fn write(&mut self, number: usize) {
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        let due = router.rollouts.to_write(now);
+        let due = router.rollouts.due_writes(now);
         let Some(write) = due.into_iter().next().filter(|_| !router.writing) else {
             return;
         };
@@ -444,7 +445,7 @@
         let now = self.queue.now;
         if let Some(end) = end.as_ref().filter(|_| *is_told) {
             let rollouts = &mut self.routers[number].rollouts;
-            let changes = rollouts.on_write_end(write, end, now);
+            let changes = rollouts.on_write_result(write, end, now);
             self.after(number, &changes);
         }
     }
@@ -455,10 +456,10 @@
 }
 
 /// As much as a datagram has room for.
-fn fitting(mut told: Vec<RolloutNews>) -> Vec<RolloutNews> {
+fn fitting(mut told: Vec<RolloutGossip>) -> Vec<RolloutGossip> {
     while size(&told) > ROLLOUT_BYTES {
-        let longest = told.iter_mut().max_by_key(|news| news.evidence.len());
-        if longest.is_none_or(|news| news.evidence.pop().is_none()) {
+        let longest = told.iter_mut().max_by_key(|news| news.counts.len());
+        if longest.is_none_or(|news| news.counts.pop().is_none()) {
             break;
         }
     }
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -6,7 +6,7 @@
 use stacktack_core::direct::back_ends::directory::LifeId;
 use stacktack_core::direct::back_ends::suspicion::RequestRisk;
 use stacktack_core::direct::choice::select::DirectCandidate;
-use stacktack_core::direct::rollout::VersionSide;
+use stacktack_core::direct::rollout::VersionSelection;
 
 use crate::rollouts::VersionChoice;
 use crate::router::Router;
@@ -33,8 +33,8 @@
     ) -> Candidates {
         let choice = self.version_choice(pool, excluded.is_empty());
         let candidates = self.candidates_of(choice, pool, excluded, request, limit);
-        if choice == VersionChoice::Side(VersionSide::New) && !candidates.any_has_room() {
-            let old = VersionChoice::Side(VersionSide::Old);
+        if choice == VersionChoice::Side(VersionSelection::New) && !candidates.any_has_room() {
+            let old = VersionChoice::Side(VersionSelection::Old);
             return self.candidates_of(old, pool, excluded, request, limit);
         }
         candidates
--- a/crates/stacktack-direct/src/datagram.rs
+++ b/crates/stacktack-direct/src/datagram.rs
@@ -7,7 +7,7 @@
 use stacktack_core::direct::peers::peer_news::PeerNews;
 use stacktack_core::direct::peers::MAXIMUM_DATAGRAM;
 use stacktack_core::direct::quarantine::record::RecordNews;
-use stacktack_core::direct::rollout::rollout_news::RolloutNews;
+use stacktack_core::direct::rollout::gossip::RolloutGossip;
 
 /// Most bytes of a datagram that roll-outs get.
 const ROLLOUT_BYTES: usize = 300;
@@ -24,7 +24,7 @@
     /// The last answers of the store that showed it; nothing from a release that does not tell.
     pub reads: SourceReads,
     /// What it knows of roll-outs; nothing where there are none.
-    pub rollouts: Vec<RolloutNews>,
+    pub rollouts: Vec<RolloutGossip>,
 }
 
 /// Bytes of a datagram; with fewer records where it would be too large.
@@ -51,7 +51,7 @@
     records: &[RecordNews],
     ages: &KnowledgeAges,
     reads: &SourceReads,
-    rollouts: &[RolloutNews],
+    rollouts: &[RolloutGossip],
 ) -> Result<Vec<u8>, postcard::Error> {
     let bytes = encode(news, records, ages, reads)?;
     // Parts are read one after the other: without those before there is no place for this one.
@@ -64,14 +64,14 @@
 }
 
 /// Roll-outs in so many bytes: counts of routers give way first.
-fn fitting(mut rollouts: Vec<RolloutNews>, bytes: usize) -> Result<Vec<u8>, postcard::Error> {
+fn fitting(mut rollouts: Vec<RolloutGossip>, bytes: usize) -> Result<Vec<u8>, postcard::Error> {
     loop {
         let part = postcard::to_allocvec(&rollouts)?;
         if part.len() <= bytes {
             return Ok(part);
         }
-        let longest = rollouts.iter_mut().max_by_key(|news| news.evidence.len());
-        let dropped = longest.and_then(|news| news.evidence.pop());
+        let longest = rollouts.iter_mut().max_by_key(|news| news.counts.len());
+        let dropped = longest.and_then(|news| news.counts.pop());
         if dropped.is_none() && rollouts.pop().is_none() {
             return Ok(Vec::new());
         }
@@ -84,7 +84,7 @@
     let (records, rest) = later_part::<Vec<RecordNews>>(rest)?;
     let (ages, rest) = later_part::<KnowledgeAges>(rest)?;
     let (reads, rest) = later_part::<SourceReads>(rest)?;
-    let (rollouts, _) = later_part::<Vec<RolloutNews>>(rest)?;
+    let (rollouts, _) = later_part::<Vec<RolloutGossip>>(rest)?;
     Ok(Datagram {
         news,
         records,
--- a/crates/stacktack-direct/src/followers/rollouts.rs
+++ b/crates/stacktack-direct/src/followers/rollouts.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteEnd};
+use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use tokio::time::sleep;
 
 use super::dependency::Dependency;
@@ -29,7 +29,7 @@
                         target: "rollout",
                         "service={} store=failed state={} cause=\"{error}\"",
                         write.service,
-                        write.state.word(),
+                        write.state.as_str(),
                     );
                     sleep(pause.take(&router)).await;
                 }
@@ -49,8 +49,8 @@
     let call = source.write_status(write, transfer.clone());
     let end = while_moving(call, &transfer, store.patience(false)).await?;
     let (stored, revision) = match &end {
-        StatusWriteEnd::Stored(revision) => (true, *revision),
-        StatusWriteEnd::Conflict { status, .. } => {
+        StatusWriteResult::Stored(revision) => (true, *revision),
+        StatusWriteResult::Conflict { status, .. } => {
             (false, status.as_ref().map_or(0, |status| status.revision))
         }
     };
@@ -59,7 +59,7 @@
         "service={} version={} store=written state={} stored={stored} revision={revision} ms={}",
         write.service,
         write.version,
-        write.state.word(),
+        write.state.as_str(),
         transfer.elapsed().as_millis(),
     );
     router.on_rollout_write(write, &end);
--- a/crates/stacktack-direct/src/ports.rs
+++ b/crates/stacktack-direct/src/ports.rs
@@ -19,7 +19,7 @@
 use stacktack_core::direct::quarantine::digest::RequestDigest;
 use stacktack_core::direct::quarantine::StoredVerdict;
 use stacktack_core::direct::rollout::order::RolloutOrder;
-use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteEnd};
+use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
 
 pub use crate::source_error::SourceError;
@@ -308,7 +308,7 @@
         &self,
         write: &StatusWrite,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<StatusWriteEnd, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<StatusWriteResult, SourceError>>;
 }
 
 /// Directory of back ends.
--- a/crates/stacktack-direct/src/rollouts.rs
+++ b/crates/stacktack-direct/src/rollouts.rs
@@ -9,11 +9,11 @@
 use stacktack_core::configuration::selector::{matches_all, Requirement};
 use stacktack_core::direct::back_ends::directory::BackEndEntry;
 use stacktack_core::direct::back_ends::BackEnds;
+use stacktack_core::direct::rollout::gossip::RolloutGossip;
+use stacktack_core::direct::rollout::latency::LatencyTarget;
 use stacktack_core::direct::rollout::order::RolloutOrder;
-use stacktack_core::direct::rollout::rollout_news::RolloutNews;
-use stacktack_core::direct::rollout::speed::SpeedWanted;
-use stacktack_core::direct::rollout::status::{write_rank, StatusWrite, StatusWriteEnd};
-use stacktack_core::direct::rollout::{OrderEnd, RolloutChange, Rollouts, VersionSide};
+use stacktack_core::direct::rollout::status::{write_rank, StatusWrite, StatusWriteResult};
+use stacktack_core::direct::rollout::{OrderOutcome, RolloutChange, Rollouts, VersionSelection};
 use stacktack_core::direct::traffic::route::Route;
 
 use crate::ports::{RefusedOrder, RolloutOrderNews};
@@ -38,7 +38,7 @@
             let mut rollouts = self.rollouts.borrow_mut();
             let end = rollouts
                 .as_mut()
-                .map(|rollouts| rollouts.take_order(order, now));
+                .map(|rollouts| rollouts.apply_order(order, now));
             drop(rollouts);
             if let Some(end) = end {
                 self.note_order(order, &end, "store");
@@ -50,7 +50,7 @@
     }
 
     /// Takes what a peer tells.
-    pub(crate) fn take_rollout_news(&self, news: &[RolloutNews]) {
+    pub(crate) fn take_rollout_news(&self, news: &[RolloutGossip]) {
         if news.is_empty() {
             return;
         }
@@ -69,12 +69,12 @@
     }
 
     /// What to tell peers.
-    pub(crate) fn told_rollouts(&self) -> Vec<RolloutNews> {
+    pub(crate) fn told_rollouts(&self) -> Vec<RolloutGossip> {
         let now = self.now();
         let mut rollouts = self.rollouts.borrow_mut();
         rollouts
             .as_mut()
-            .map_or_else(Vec::new, |rollouts| rollouts.told(now))
+            .map_or_else(Vec::new, |rollouts| rollouts.gossip(now))
     }
 
     /// Judges what is known of versions that are rolled out.
@@ -89,7 +89,7 @@
                 true => 0,
                 false => write_rank(self.settings.peers.listen, self.peers.borrow().addresses()),
             };
-            rollouts.set(self.bounds().exposure, rank);
+            rollouts.configure(self.bounds().exposure, rank);
             rollouts.tick(now)
         };
         self.note_rollout_changes(&changes);
@@ -104,16 +104,18 @@
         let rollouts = self.rollouts.borrow();
         rollouts
             .as_ref()
-            .map_or_else(Vec::new, |rollouts| rollouts.to_write(now))
+            .map_or_else(Vec::new, |rollouts| rollouts.due_writes(now))
     }
 
     /// A write to the store ended.
-    pub fn on_rollout_write(&self, write: &StatusWrite, end: &StatusWriteEnd) {
+    pub fn on_rollout_write(&self, write: &StatusWrite, end: &StatusWriteResult) {
         let now = self.now();
         let changes = {
             let mut rollouts = self.rollouts.borrow_mut();
             let rollouts = rollouts.as_mut();
-            rollouts.map_or_else(Vec::new, |rollouts| rollouts.on_write_end(write, end, now))
+            rollouts.map_or_else(Vec::new, |rollouts| {
+                rollouts.on_write_result(write, end, now)
+            })
         };
         self.note_rollout_changes(&changes);
     }
@@ -133,7 +135,7 @@
             return VersionChoice::All;
         };
         if members().any(|entry| is_other(rollouts, service, entry)) {
-            VersionChoice::Side(rollouts.side(service, is_first_try, self.now()))
+            VersionChoice::Side(rollouts.select_version(service, is_first_try, self.now()))
         } else {
             VersionChoice::All
         }
@@ -149,11 +151,11 @@
             return true;
         };
         let version = entry.version();
-        rollouts.may_send(service, version)
+        rollouts.may_receive_requests(service, version)
             && match side {
-                VersionSide::Any => true,
-                VersionSide::Old => !rollouts.is_new(service, version),
-                VersionSide::New => rollouts.is_new(service, version),
+                VersionSelection::Any => true,
+                VersionSelection::Old => !rollouts.is_new_version(service, version),
+                VersionSelection::New => rollouts.is_new_version(service, version),
             }
     }
 
@@ -165,12 +167,12 @@
             return false;
         };
         let mut others = back_ends.iter().map(|member| &member.entry);
-        !rollouts.may_send(service, entry.version())
+        !rollouts.may_receive_requests(service, entry.version())
             && others
                 .any(|other| other.service() == Some(service) && is_other(rollouts, service, other))
     }
 
-    fn note_order(&self, order: &RolloutOrder, end: &OrderEnd, source: &'static str) {
+    fn note_order(&self, order: &RolloutOrder, end: &OrderOutcome, source: &'static str) {
         let RolloutOrder {
             service,
             version,
@@ -178,18 +180,18 @@
             revision,
         } = order;
         let cause = match end {
-            OrderEnd::Known => return,
-            OrderEnd::Begun => None,
-            OrderEnd::Replaced { version } => {
+            OrderOutcome::AlreadyKnown => return,
+            OrderOutcome::Started => None,
+            OrderOutcome::Replaced { version } => {
                 log::warn!(
                     target: "rollout",
                     "service={service} version={version} replaced=true by_revision={revision}: its outcome was open, it gets nothing"
                 );
                 None
             }
-            OrderEnd::Unbounded => Some("no bound of exposure is set".to_owned()),
-            OrderEnd::Refused(error) => Some(error.to_string()),
-            OrderEnd::TooMany => Some("too many services have roll-outs".to_owned()),
+            OrderOutcome::NoExposureBound => Some("no bound of exposure is set".to_owned()),
+            OrderOutcome::Invalid(error) => Some(error.to_string()),
+            OrderOutcome::TooManyServices => Some("too many services have roll-outs".to_owned()),
         };
         if let Some(cause) = cause {
             return self.note_refused(&RefusedOrder {
@@ -248,16 +250,16 @@
                 "service={} version={} state={} before={} cause={} answers={} failed={} slow={} own_requests={} own_exposed={}",
                 change.service,
                 change.version,
-                change.now.word(),
-                change.before.word(),
-                change.cause.word(),
-                change.counts.answers,
+                change.current.as_str(),
+                change.previous.as_str(),
+                change.cause.as_str(),
+                change.counts.responses,
                 change.counts.failed,
                 change.counts.slow,
                 change.requests,
                 change.exposed,
             );
-            if change.alarm || change.now.is_decided() {
+            if change.is_urgent || change.current.is_decided() {
                 self.push_due.notify_one();
             }
         }
@@ -270,14 +272,14 @@
     /// All: there is no roll-out, or no other version to go to.
     All,
     /// Those of one side of a roll-out.
-    Side(VersionSide),
+    Side(VersionSelection),
 }
 
 /// Whether a back end is of another version than the one that is rolled out, and may get
 /// requests.
 fn is_other(rollouts: &Rollouts, service: &str, entry: &BackEndEntry) -> bool {
     let version = entry.version();
-    !rollouts.is_new(service, version) && rollouts.may_send(service, version)
+    !rollouts.is_new_version(service, version) && rollouts.may_receive_requests(service, version)
 }
 
 /// What one attempt tells of the version of its back end.
@@ -302,12 +304,12 @@
         let back_ends = router.back_ends.borrow();
         let entry = &back_ends.get(back_end)?.entry;
         let service = entry.service()?;
-        rollouts.progress(service)?;
+        rollouts.state(service)?;
         let watch = VersionWatch {
             service: service.to_owned(),
             version: entry.version().to_owned(),
             route: route.clone(),
-            is_new: rollouts.is_new(service, entry.version()),
+            is_new: rollouts.is_new_version(service, entry.version()),
             head_after: Cell::default(),
             is_counted: Cell::new(false),
         };
@@ -338,12 +340,12 @@
 
     fn on_answer(&self, router: &Router, took: Option<Duration>) {
         self.is_counted.set(true);
-        let wanted = SpeedWanted {
+        let wanted = LatencyTarget {
             objective: self.route.objective,
-            reads_prompts: self.route.kind.is_stream(),
+            needs_prefill: self.route.kind.is_stream(),
         };
         if let Some(rollouts) = router.rollouts.borrow_mut().as_mut() {
-            rollouts.on_answer(&self.service, &self.version, &self.route.name, took, wanted);
+            rollouts.on_response(&self.service, &self.version, &self.route.name, took, wanted);
         }
     }
 
--- a/crates/stacktack-direct/tests/rollout_datagrams.rs
+++ b/crates/stacktack-direct/tests/rollout_datagrams.rs
@@ -9,9 +9,9 @@
 use stacktack_core::direct::peers::knowledge_age::{KnowledgeAges, SourceReads};
 use stacktack_core::direct::peers::peer_news::PeerNews;
 use stacktack_core::direct::peers::MAXIMUM_DATAGRAM;
-use stacktack_core::direct::rollout::evidence::{AnswerGrade, FleetEvidence, RouteHash};
+use stacktack_core::direct::rollout::gossip::RolloutGossip;
 use stacktack_core::direct::rollout::order::RolloutOrder;
-use stacktack_core::direct::rollout::rollout_news::RolloutNews;
+use stacktack_core::direct::rollout::response_counts::{FleetCounts, ResponseOutcome, RouteHash};
 use stacktack_direct::datagram::{decode, encode, encode_with_rollouts};
 
 use steady_peer::steady_peer;
@@ -24,30 +24,30 @@
 }
 
 /// News of one roll-out with the counts of so many routers on so many routes.
-fn rollout(routers: u32, routes: usize) -> RolloutNews {
+fn rollout(routers: u32, routes: usize) -> RolloutGossip {
     let order = RolloutOrder::new("service".into(), "v2".into(), 12.0, 7).expect("an order");
     let evidence = (0..routers).flat_map(|router| {
-        let mut evidence = FleetEvidence::new(u32::MAX - router);
+        let mut evidence = FleetCounts::new(u32::MAX - router);
         for route in 0..routes {
             let route = RouteHash::of(&format!("route {route}"));
             for _ in 0..200 {
-                evidence.count(route, true, AnswerGrade::Failed);
+                evidence.record(route, true, ResponseOutcome::Failed);
             }
         }
-        evidence.told()
+        evidence.gossip()
     });
-    RolloutNews {
+    RolloutGossip {
         order,
         age: Duration::from_millis(1234),
         stored: None,
-        harmful: true,
+        regressed: true,
         proved: false,
         passed: false,
-        evidence: evidence.collect(),
+        counts: evidence.collect(),
     }
 }
 
-fn written(rollouts: &[RolloutNews]) -> Vec<u8> {
+fn written(rollouts: &[RolloutGossip]) -> Vec<u8> {
     let (ages, reads) = (KnowledgeAges::default(), SourceReads::default());
     encode_with_rollouts(&news(), &[], &ages, &reads, rollouts).expect("a datagram")
 }
@@ -76,13 +76,13 @@
         assert!(bytes.len() <= written(&[]).len() + MOST_BYTES);
         let datagram = decode(&bytes).expect("valid");
         assert_eq!(datagram.rollouts[0].order, rollout(0, 0).order);
-        assert!(datagram.rollouts[0].harmful);
+        assert!(datagram.rollouts[0].regressed);
     }
 }
 
 #[test]
 fn more_roll_outs_than_fit_do_not_break_the_datagram() {
-    let many: Vec<RolloutNews> = (0..60).map(|_| rollout(1, 1)).collect();
+    let many: Vec<RolloutGossip> = (0..60).map(|_| rollout(1, 1)).collect();
     let datagram = decode(&written(&many)).expect("valid");
     assert!(!datagram.rollouts.is_empty());
     assert_eq!(datagram.news, news());
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -15,9 +15,9 @@
 use stacktack_core::direct::back_ends::suspicion::RequestRisk;
 use stacktack_core::direct::rollout::exposure::ExposureBound;
 use stacktack_core::direct::rollout::order::RolloutOrder;
-use stacktack_core::direct::rollout::progress::Progress;
+use stacktack_core::direct::rollout::state::RolloutState;
 use stacktack_core::direct::rollout::status::{
-    StatusWrite, StatusWriteEnd, StoredState, StoredStatus,
+    StatusWrite, StatusWriteResult, StoredState, StoredStatus,
 };
 use stacktack_direct::followers::{follow_rollouts, Dependency};
 use stacktack_direct::ports::{
@@ -44,7 +44,7 @@
         &self,
         write: &StatusWrite,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<StatusWriteEnd, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<StatusWriteResult, SourceError>> {
         let write = write.clone();
         Box::pin(async move {
             self.writes.borrow_mut().push(write.state);
@@ -54,7 +54,7 @@
             let mut status = self.status.borrow_mut();
             let known = status.as_ref().map_or(0, |status| status.revision);
             if write.status_revision != known || write.order_revision != ORDERED {
-                return Ok(StatusWriteEnd::Conflict {
+                return Ok(StatusWriteResult::Conflict {
                     order_revision: ORDERED,
                     status: status.clone(),
                 });
@@ -65,7 +65,7 @@
                 version: write.version,
                 revision,
             });
-            Ok(StatusWriteEnd::Stored(revision))
+            Ok(StatusWriteResult::Stored(revision))
         })
     }
 }
@@ -132,26 +132,26 @@
     });
 }
 
-fn progress(router: &Router) -> Option<Progress> {
+fn progress(router: &Router) -> Option<RolloutState> {
     let rollouts = router.rollouts.borrow();
     rollouts
         .as_ref()
-        .and_then(|rollouts| rollouts.progress(SERVICE))
+        .and_then(|rollouts| rollouts.state(SERVICE))
 }
 
 /// Answers of both back ends' versions: of the new one so many in 100 are bad.
 fn answer(router: &Router, bad: u32) {
-    let wanted = stacktack_core::direct::rollout::speed::SpeedWanted {
+    let wanted = stacktack_core::direct::rollout::latency::LatencyTarget {
         objective: Duration::from_millis(120),
-        reads_prompts: false,
+        needs_prefill: false,
     };
     let mut rollouts = router.rollouts.borrow_mut();
     let rollouts = rollouts.as_mut().expect("served");
     for number in 0..100 {
         let took = Some(Duration::from_millis(15));
-        rollouts.on_answer(SERVICE, "v1", "route", took, wanted);
+        rollouts.on_response(SERVICE, "v1", "route", took, wanted);
         let took = took.filter(|_| number >= bad);
-        rollouts.on_answer(SERVICE, "v2", "route", took, wanted);
+        rollouts.on_response(SERVICE, "v2", "route", took, wanted);
     }
 }
 
@@ -194,10 +194,10 @@
         order(&router, "v2");
         after(2_000).await;
         assert_eq!(open(&router), ["old"]);
-        assert_eq!(progress(&router), Some(Progress::Unannounced));
+        assert_eq!(progress(&router), Some(RolloutState::Unannounced));
         store.down.set(false);
         after(1_000).await;
-        assert_eq!(progress(&router), Some(Progress::Canary));
+        assert_eq!(progress(&router), Some(RolloutState::Canary));
     })
     .await;
 }
@@ -212,14 +212,14 @@
         store.down.set(true);
         answer(&router, 40);
         after(100).await;
-        assert_eq!(progress(&router), Some(Progress::Stopped));
+        assert_eq!(progress(&router), Some(RolloutState::Stopped));
         assert_eq!(open(&router), ["old"]);
         let life = stacktack_core::direct::back_ends::directory::LifeId::of(&entry("new", "v2"));
         assert!(!router.may_send("new", life));
         after(60_000).await;
         store.down.set(false);
         after(2_000).await;
-        assert_eq!(progress(&router), Some(Progress::RolledBack));
+        assert_eq!(progress(&router), Some(RolloutState::RolledBack));
         assert_eq!(open(&router), ["old"]);
     })
     .await;
@@ -234,7 +234,7 @@
         after(200).await;
         answer(&router, 0);
         after(11_500).await;
-        assert_eq!(progress(&router), Some(Progress::Completed));
+        assert_eq!(progress(&router), Some(RolloutState::Completed));
         assert_eq!(open(&router), ["new"]);
         let expected = [StoredState::Running, StoredState::Completed];
         assert_eq!(*store.writes.borrow(), expected);
