--- a/crates/stacktack-core/src/direct/admission/caller_timeouts.rs
+++ b/crates/stacktack-core/src/direct/admission/caller_timeouts.rs
@@ -1,11 +1,12 @@
-//! How long callers of a route are ready to wait when they first ask: who says clearly
-//! less came back after a refusal.
+//! Recognizes callers that come back after a refusal by their timeouts.
 //!
-//! Callers of one route may differ: at one deployment each says between 0.85 and 1 of the
-//! route's time. So the shortest patience that is usual is learned, and only while nobody
-//! is refused: then nobody comes back, and what is seen are first tries. Compared with the
-//! longest patience, 61 in 100 of these callers counted as returned in 14 s in which nobody
-//! was refused; now 2.6, the first ones of a router's life among them.
+//! A caller that comes back has already spent part of its time, so the timeout that it
+//! announces is clearly shorter than is usual on its route. Callers of one route may
+//! differ: in one deployment each announces between 0.85 and 1 of the route's timeout. So
+//! the shortest usual timeout is learned, and only while nobody is refused: then no caller
+//! comes back, and all requests are first tries. Compared with the longest timeout, 61 in
+//! 100 of these callers counted as returned in 14 s in which nobody was refused; compared
+//! with the shortest usual one 2.6 do, including the first callers after a router starts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,57 +14,65 @@
 use crate::direct::admission::AdmissionRequest;
 use crate::time::Time;
 
-/// Routes that are remembered in one pool, and time for which one is that is not seen.
-const MAXIMUM_ROUTES: usize = 1024;
-const REMEMBER_ROUTE: Duration = Duration::from_secs(60);
+/// Maximum number of routes that are remembered in one pool.
+const MAX_ROUTES: usize = 1024;
 
-/// Time after a refusal in which callers may come back: a third of the 10 s that patient
-/// callers wait, and as much again for the next one.
-const CALM_AFTER: Duration = Duration::from_secs(6);
+/// Time after the last request of a route from which the route may be forgotten.
+const ROUTE_TTL: Duration = Duration::from_secs(60);
 
-/// Share of first tries whose patience may be below what is learned.
-const BELOW: f64 = 0.02;
+/// Time after a refusal in which callers may come back: patient callers wait 10 s, a third
+/// of it before they come back, and as much again if they are refused once more.
+const RETURN_WINDOW: Duration = Duration::from_secs(6);
 
-/// Share of what is learned by which one first try moves it: down by this for one that is
-/// below, up by [`BELOW`] times as much for one that is not. The first tries move it more,
-/// by a part of [`FIRST_STEPS`] that falls with their number.
-const STEP: f64 = 0.005;
-const FIRST_STEPS: f64 = 0.3;
-const LONGEST_STEP: f64 = 0.05;
+/// Share of the first tries whose timeout is below the learned one: the learned timeout is
+/// about this quantile.
+const LOW_QUANTILE: f64 = 0.02;
 
-/// A patience that is shorter than the usual one by this much is clearly shorter: the way
-/// to the router takes up to 8 ms of it, and callers come back after 150 ms or more.
-const CLEARLY_SHORTER: Duration = Duration::from_millis(50);
+/// Minimum share of the learned timeout by which one first try moves it: down by the whole
+/// step for a shorter timeout, up by [`LOW_QUANTILE`] times the step for any other.
+const MIN_STEP: f64 = 0.005;
 
-/// The shortest usual patience of each route's callers.
+/// Step of the first tries of a route, divided by their number so far, so that the first
+/// ones move the learned timeout more.
+const INITIAL_STEP: f64 = 0.3;
+
+/// Maximum share of the learned timeout by which one first try moves it.
+const MAX_STEP: f64 = 0.05;
+
+/// Difference from the usual timeout above which a timeout is clearly shorter: the way to
+/// the router takes up to 8 ms of it, and callers come back after 150 ms or more.
+const RETURN_MARGIN: Duration = Duration::from_millis(50);
+
+/// The shortest usual timeout of each route's callers.
 #[derive(Clone, Debug, Default)]
 pub struct UsualTimeouts {
-    routes: HashMap<String, RoutePatience>,
+    routes: HashMap<String, RouteTimeout>,
     last_refused: Option<Time>,
 }
 
-/// The patience of callers that a route sees first.
+/// Timeouts of the first tries on one route.
 #[derive(Clone, Debug)]
-struct RoutePatience {
-    /// Shortest usual patience, in seconds.
+struct RouteTimeout {
+    /// Shortest usual timeout, in seconds.
     shortest: f64,
     first_tries: f64,
-    seen: Time,
+    last_seen: Time,
 }
 
 impl UsualTimeouts {
-    /// Whether the caller came before: it says that it waits clearly less than is usual.
+    /// Whether the caller was refused before and came back: it announces a timeout that is
+    /// clearly shorter than usual.
     pub fn has_returned(&self, request: &AdmissionRequest<'_>) -> bool {
-        self.routes.get(request.route).is_some_and(|known| {
-            let patience = request.caller_timeout + CLEARLY_SHORTER;
-            patience.as_secs_f64() < known.shortest
+        self.routes.get(request.route).is_some_and(|usual| {
+            let timeout = request.caller_timeout + RETURN_MARGIN;
+            timeout.as_secs_f64() < usual.shortest
         })
     }
 
-    /// Whether nobody was refused here for so long that nobody comes back.
+    /// Whether the last refusal here is so long ago that no caller is still coming back.
     pub fn has_no_recent_refusals(&self, now: Time) -> bool {
         self.last_refused
-            .is_none_or(|at| now.since(at) >= CALM_AFTER)
+            .is_none_or(|at| now.since(at) >= RETURN_WINDOW)
     }
 
     /// A request was refused: from now on callers may come back.
@@ -71,39 +80,39 @@
         self.last_refused = Some(now);
     }
 
-    /// A request was taken.
+    /// A request was admitted.
     pub fn on_admitted(&mut self, request: &AdmissionRequest<'_>, now: Time) {
         if !self.has_no_recent_refusals(now) {
             return;
         }
         if let Some(usual) = self.routes.get_mut(request.route) {
-            usual.note(request.caller_timeout, now);
+            usual.learn(request.caller_timeout, now);
             return;
         }
-        if self.routes.len() >= MAXIMUM_ROUTES {
+        if self.routes.len() >= MAX_ROUTES {
             self.routes
-                .retain(|_, usual| now.since(usual.seen) < REMEMBER_ROUTE);
+                .retain(|_, usual| now.since(usual.last_seen) < ROUTE_TTL);
         }
-        if self.routes.len() < MAXIMUM_ROUTES {
-            let first = RoutePatience {
+        if self.routes.len() < MAX_ROUTES {
+            let first = RouteTimeout {
                 shortest: request.caller_timeout.as_secs_f64(),
                 first_tries: 1.0,
-                seen: now,
+                last_seen: now,
             };
             self.routes.insert(request.route.to_owned(), first);
         }
     }
 }
 
-impl RoutePatience {
-    fn note(&mut self, patience: Duration, now: Time) {
-        self.seen = now;
+impl RouteTimeout {
+    fn learn(&mut self, timeout: Duration, now: Time) {
+        self.last_seen = now;
         self.first_tries += 1.0;
-        let step = (FIRST_STEPS / self.first_tries).clamp(STEP, LONGEST_STEP);
-        let change = if patience.as_secs_f64() < self.shortest {
+        let step = (INITIAL_STEP / self.first_tries).clamp(MIN_STEP, MAX_STEP);
+        let change = if timeout.as_secs_f64() < self.shortest {
             -step
         } else {
-            step * BELOW
+            step * LOW_QUANTILE
         };
         self.shortest *= 1.0 + change;
     }
--- a/crates/stacktack-core/src/direct/admission/mod.rs
+++ b/crates/stacktack-core/src/direct/admission/mod.rs
@@ -1,24 +1,27 @@
-//! Whether a pool takes one more request, and when a refused caller may come back.
+//! Admission control of one pool: whether a request is admitted, and when a refused
+//! caller may come back.
 //!
-//! A request that would wait at its back end for longer than its caller wants is
-//! better refused at once: it takes no place from one that can still be in time,
-//! and its caller may come back while there is time. Two questions are asked:
+//! A request that would wait at its back end for longer than its caller wants is refused
+//! at once: it then takes no slot from a request that can still be in time, and its caller
+//! may come back while there is time. Two questions are decided separately:
 //!
-//! - **Has the pool room?** The load of the pool as a whole decides, and, where it is
-//!   full, this router's share of it as a rate ([`pool_share`]). That is right with any
-//!   number of routers, each of which knows loads that are up to seconds old.
-//! - **Which back end has room?** Each has a limit that is not set but found: Little's
-//!   law gives the wait behind `n` requests, `n x hold / slots`, where the time that a
-//!   request holds a slot is measured. A back end is full where that wait reaches a
-//!   share of the pool's shortest objective.
+//! - **Does the pool have free capacity?** The load of the pool as a whole decides and,
+//!   where the pool is full, this router's share of it as a rate ([`pool_share`]). This
+//!   works with any number of routers, each of which knows loads that are up to seconds
+//!   old.
+//! - **Which back end has free capacity?** Each back end has a limit that is derived, not
+//!   configured: by Little's law the wait behind `n` waiting requests is
+//!   `n x hold / slots`, where `hold` is the measured time for which a request occupies a
+//!   slot. A back end is full where that wait reaches a share of the pool's shortest
+//!   latency objective.
 //!
-//! New callers go before those that were refused and come back, since they can still be
-//! in time, and before those of a tenant that surges ([`tenant_shares`]). A repeated send
-//! finds less room than a first one. All urgencies find the same limit: back ends run the
-//! more urgent of those that wait first.
+//! New callers go before callers that were refused and come back, since new callers can
+//! still be in time, and before those of a tenant that surges ([`tenant_shares`]). A retry
+//! finds less free capacity than a first send. The limit is the same for all priorities:
+//! back ends run the more urgent of the waiting requests first.
 //!
-//! Where loads are not known (a back end tells none and the fleet is large) the back
-//! ends' own rejections say truly that there is no room ([`rejections`]).
+//! Where loads are unknown (a back end reports none and the fleet is large), the back
+//! ends' own rejections show that there is no free capacity ([`rejections`]).
 
 pub mod caller_timeouts;
 pub mod pool_load;
@@ -40,55 +43,61 @@
 use crate::direct::admission::tenant_shares::TenantShares;
 use crate::time::Time;
 
-/// Share of the shortest objective that a request may wait at its back end; the rest is
-/// for its first token and the way to the caller. A share that followed late answers
-/// earned 0.722 of the value of all requests, this one 0.725 (103 routers, two bursts).
-const WAIT_SHARE: f64 = 0.5;
+/// Share of the shortest latency objective that a request may wait at its back end; the
+/// rest is for its first token and the way to the caller. A share that followed late
+/// responses earned 0.722 of the value of all requests, this one 0.725 (103 routers, two
+/// bursts).
+const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// Share of the slots that stays free of repeated sends, so that a full pool serves
-/// first sends first. Chosen, not measured by itself.
-const REPEAT_RESERVE: f64 = 0.2;
+/// Share of the slots that is kept free of retries, so that a full pool serves first sends
+/// first.
+const RETRY_RESERVE_SHARE: f64 = 0.2;
 
-/// Weight of the newest time that a slot was held. Longer ones weigh less: waits at
-/// the router and at the back end make times look longer, never shorter.
+/// Weight of a new hold time in the mean where the new one is shorter than the mean.
 const SHORTER_HOLD_WEIGHT: f64 = 0.05;
+
+/// Weight of a new hold time in the mean where the new one is longer than the mean. It is
+/// the smaller weight: waits at the router and at the back end make hold times look
+/// longer, never shorter.
 const LONGER_HOLD_WEIGHT: f64 = 0.015;
 
-/// Requests that may wait, as a share of the slots, while no answer told how long one
-/// holds a slot: a router that just started is bounded too. Chosen.
-const UNKNOWN_WAIT: f64 = 0.25;
+/// Requests that may wait at a back end, as a share of its slots, until the hold time is
+/// known: a router that just started is bounded too.
+const DEFAULT_WAITING_SHARE: f64 = 0.25;
 
-/// Share of the requests that may wait at a back end that wait in the mean of a full
-/// pool: loads differ between back ends.
-const TARGET_SHARE_OF_WAIT: f64 = 0.3;
+/// Mean number of requests that wait at a back end of a full pool, as a share of the number
+/// that may wait there. The mean stays below the limit since loads differ between back
+/// ends.
+const MEAN_WAITING_SHARE: f64 = 0.3;
 
-/// Shortest time that counts for a slot, in seconds.
-const SHORTEST_HOLD: f64 = 0.001;
+/// Minimum hold time that is counted, in seconds.
+const MIN_HOLD_SECONDS: f64 = 0.001;
 
-/// Time for which an objective counts after it was last seen.
-const SEEN_FOR: Duration = Duration::from_secs(10);
+/// Time for which a latency objective counts after it was last seen.
+const OBJECTIVE_TTL: Duration = Duration::from_secs(10);
 
-/// What decides about one request.
+/// Properties of one request that decide its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Its route.
+    /// Name of its route.
     pub route: &'a str,
-    /// Hash of its tenant's name, where it has one.
+    /// Hash of its tenant's name; `None` for a request without a tenant.
     pub tenant: Option<u64>,
-    /// Time within which the first byte is wanted.
+    /// Latency objective: time within which the first byte is wanted.
     pub objective: Duration,
-    /// Time that its caller said it would wait.
+    /// Time for which the caller waits for the response, as announced by the caller or
+    /// else set by the route.
     pub caller_timeout: Duration,
-    /// Time that its caller still waits.
+    /// What is left of [`Self::caller_timeout`].
     pub remaining_timeout: Duration,
-    /// Whether it was sent to a back end before.
+    /// Whether the router sent the request to a back end before.
     pub is_retry: bool,
 }
 
-/// What a pool says to one more request.
+/// Decision on one more request to a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolDecision {
-    /// It is taken.
+    /// The request is admitted.
     Admitted,
     /// The pool is full and the router has used its share.
     RouterShareExhausted,
@@ -96,13 +105,12 @@
     TenantShareExceeded,
 }
 
-/// Requests that a back end may hold for one more request to be sent there, as a
-/// multiple of its slots.
+/// Load below which a back end may get one more request, as a multiple of its slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlotLimit(f64);
 
 impl SlotLimit {
-    /// The limit in requests; none where the number of slots is not known.
+    /// The limit in requests; infinite where the number of slots is unknown (0).
     pub fn requests(self, slots: u32) -> f64 {
         if slots == 0 {
             return f64::INFINITY;
@@ -111,42 +119,46 @@
     }
 }
 
-/// What is known of a pool's room at one router.
+/// Admission state of one pool at one router.
 #[derive(Clone, Debug, Default)]
 pub struct PoolAdmission {
+    /// Mean time for which a request occupies a slot, in seconds.
     hold_seconds: Option<f64>,
-    patience: UsualTimeouts,
-    /// Shortest objective seen of late.
-    objective: Option<(Duration, Time)>,
+    timeouts: UsualTimeouts,
+    /// Shortest recent latency objective, and when it was seen.
+    shortest_objective: Option<(Duration, Time)>,
     share: PoolShare,
     target_fill: TargetFill,
     tenants: TenantShares,
     rejections: Rejections,
-    returns: RetryAfterSchedule,
+    retry_after: RetryAfterSchedule,
 }
 
 impl PoolAdmission {
-    /// The limit that holds for a request at each back end.
+    /// Limit of each back end's load for this request.
     pub fn slot_limit(&mut self, request: &AdmissionRequest<'_>, now: Time) -> SlotLimit {
         self.note_objective(request.objective, now);
         let reserve = if request.is_retry {
-            REPEAT_RESERVE
+            RETRY_RESERVE_SHARE
         } else {
             0.0
         };
-        SlotLimit(1.0 + self.wait(request.objective) - reserve)
+        SlotLimit(1.0 + self.max_waiting_share(request.objective) - reserve)
     }
 
     /// Requests that may wait at a back end, as a share of its slots.
-    fn wait(&self, objective: Duration) -> f64 {
-        let objective = self.objective.map_or(objective, |(known, _)| known);
+    fn max_waiting_share(&self, objective: Duration) -> f64 {
+        let objective = self
+            .shortest_objective
+            .map_or(objective, |(shortest, _)| shortest);
         match self.hold_seconds {
-            Some(hold) => WAIT_SHARE * objective.as_secs_f64() / hold,
-            None => UNKNOWN_WAIT,
+            Some(hold) => MAX_WAIT_SHARE * objective.as_secs_f64() / hold,
+            None => DEFAULT_WAITING_SHARE,
         }
     }
 
-    /// Whether the pool as a whole takes a new request of one of so many routers.
+    /// Decides whether the pool as a whole admits a new request. `routers` is the number of
+    /// routers that send to the pool, this one included.
     pub fn decide(
         &mut self,
         request: &AdmissionRequest<'_>,
@@ -154,10 +166,10 @@
         routers: usize,
         now: Time,
     ) -> PoolDecision {
-        let most = 1.0 + TARGET_SHARE_OF_WAIT * self.wait(request.objective);
+        let max_fill = 1.0 + MEAN_WAITING_SHARE * self.max_waiting_share(request.objective);
         let inputs = ShareInputs {
             pool,
-            target_fill: self.target_fill.target(most, pool.fill(), now),
+            target_fill: self.target_fill.target(max_fill, pool.fill(), now),
             hold_seconds: self.hold_seconds,
             routers,
         };
@@ -168,13 +180,13 @@
         if !full {
             return PoolDecision::Admitted;
         }
-        let surges = request
+        let surging = request
             .tenant
             .is_some_and(|tenant| self.tenants.is_surging(tenant, now));
-        let goes_behind = surges || self.has_returned(request);
-        if self.share.has_permit(goes_behind) {
+        let deprioritized = surging || self.has_returned(request);
+        if self.share.has_permit(deprioritized) {
             PoolDecision::Admitted
-        } else if surges {
+        } else if surging {
             PoolDecision::TenantShareExceeded
         } else {
             PoolDecision::RouterShareExhausted
@@ -182,60 +194,61 @@
     }
 
     fn note_objective(&mut self, objective: Duration, now: Time) {
-        let known = self
-            .objective
-            .filter(|(known, seen)| *known < objective && now.since(*seen) < SEEN_FOR);
-        if known.is_none() {
-            self.objective = Some((objective, now));
+        let shorter = self
+            .shortest_objective
+            .filter(|(shortest, seen)| *shortest < objective && now.since(*seen) < OBJECTIVE_TTL);
+        if shorter.is_none() {
+            self.shortest_objective = Some((objective, now));
         }
     }
 
-    /// Whether the request is refused since back ends reject too many; `draw` is uniform
-    /// from 0 to 1.
+    /// Whether the request is refused because back ends reject too many requests; `draw` is
+    /// uniform from 0 to 1. A refusal is counted.
     pub fn should_shed(&mut self, request: &AdmissionRequest<'_>, draw: f64, now: Time) -> bool {
         let returned = self.has_returned(request);
-        let rejected = draw < self.rejections.shed_share(returned, now);
-        if rejected {
+        let shed = draw < self.rejections.shed_share(returned, now);
+        if shed {
             self.rejections.on_not_accepted(now);
         }
-        rejected
+        shed
     }
 
-    /// The answer to a first try began, late or not.
+    /// The response to a first try began; `late` if that was after the latency objective.
     pub fn on_first_try_response(&mut self, late: bool) {
         self.target_fill.on_first_try_response(late);
     }
 
-    /// A back end took a request, or rejected it for want of room.
-    pub fn on_outcome(&mut self, taken: bool, now: Time) {
-        if taken {
+    /// A back end accepted a request, or rejected it for lack of free capacity.
+    pub fn on_outcome(&mut self, accepted: bool, now: Time) {
+        if accepted {
             self.rejections.on_accepted(now);
         } else {
             self.rejections.on_not_accepted(now);
         }
     }
 
-    /// Whether the caller came before: it says that it waits less than is usual.
+    /// Whether the caller was refused before and came back, as its timeout shows: it is
+    /// clearly shorter than is usual on the route.
     pub fn has_returned(&self, request: &AdmissionRequest<'_>) -> bool {
-        self.patience.has_returned(request)
+        self.timeouts.has_returned(request)
     }
 
-    /// Whether nobody was refused here for so long that nobody comes back.
+    /// Whether the last refusal here is so long ago that no caller is still coming back.
     pub fn has_no_recent_refusals(&self, now: Time) -> bool {
-        self.patience.has_no_recent_refusals(now)
+        self.timeouts.has_no_recent_refusals(now)
     }
 
-    /// A request was sent on for the first time.
+    /// A request was admitted; called once for each request, not for its retries.
     pub fn on_admitted(&mut self, request: &AdmissionRequest<'_>, now: Time) {
         self.share.on_admitted(now);
-        self.patience.on_admitted(request, now);
+        self.timeouts.on_admitted(request, now);
     }
 
-    /// A request is refused. Returns after what time its caller may come back. `draw`
-    /// spreads callers where that is later than they will wait.
+    /// A request is refused. Returns the time after which its caller may come back. `draw`,
+    /// uniform from 0 to 1, spreads callers whose turn is later than they will wait.
     pub fn on_refused(&mut self, request: &AdmissionRequest<'_>, draw: f64, now: Time) -> Duration {
-        self.patience.on_refused(now);
-        self.returns.join(
+        self.timeouts.on_refused(now);
+        self.retry_after.schedule(
             self.share.admission_rate(),
             request.remaining_timeout,
             draw,
@@ -243,27 +256,28 @@
         )
     }
 
-    /// A whole answer came this long after its request was sent. `load` and `slots`
-    /// are the back end's when the request was sent there: above the slots the time
-    /// grows with the load, and the share beyond was spent waiting.
-    pub fn on_complete_response(&mut self, after: Duration, load: f64, slots: u32) {
-        let ran_share = (f64::from(slots) / load.max(1.0)).min(1.0);
-        let seconds = (after.as_secs_f64() * ran_share).max(SHORTEST_HOLD);
-        let known = self.hold_seconds.unwrap_or(seconds);
-        let weight = if seconds < known {
+    /// A complete response came `elapsed` after its request was sent. `load` and `slots`
+    /// are those of the back end when the request was sent: where the load exceeds the
+    /// slots, the elapsed time grows with the load, and the excess was spent waiting.
+    pub fn on_complete_response(&mut self, elapsed: Duration, load: f64, slots: u32) {
+        let running_share = (f64::from(slots) / load.max(1.0)).min(1.0);
+        let seconds = (elapsed.as_secs_f64() * running_share).max(MIN_HOLD_SECONDS);
+        let mean = self.hold_seconds.unwrap_or(seconds);
+        let weight = if seconds < mean {
             SHORTER_HOLD_WEIGHT
         } else {
             LONGER_HOLD_WEIGHT
         };
-        self.hold_seconds = Some(known + weight * (seconds - known));
+        self.hold_seconds = Some(mean + weight * (seconds - mean));
     }
 
-    /// Requests a second that the router may send while the pool is full.
+    /// Requests per second that the router may send while the pool is full.
     pub fn share_per_second(&self) -> f64 {
         self.share.per_second()
     }
 
-    /// Time that a request holds a slot, in seconds; `None` before the first.
+    /// Mean time for which a request occupies a slot, in seconds; `None` before the first
+    /// complete response.
     pub fn hold_seconds(&self) -> Option<f64> {
         self.hold_seconds
     }
--- a/crates/stacktack-core/src/direct/admission/pool_load.rs
+++ b/crates/stacktack-core/src/direct/admission/pool_load.rs
@@ -1,51 +1,55 @@
-//! How full a pool is as a whole, from news of its back ends of different age.
+//! How full a pool is as a whole, from load reports of different ages.
 
 use std::time::Duration;
 
-/// Newest reports that count most: enough for a mean whose error is a tenth.
-const NEWEST: usize = 12;
+/// Number of newest reports that weigh most: enough for a mean with an error of a tenth.
+const FRESH_REPORTS: usize = 12;
 
-/// Age over which a report loses most of its weight: that of the last of the newest
-/// ones, but within these bounds. Under overload a pool's load changes by a quarter
-/// within the longer one.
-const SHORTEST_FRESH: Duration = Duration::from_millis(50);
-const LONGEST_FRESH: Duration = Duration::from_millis(600);
+/// Minimum age over which a report loses most of its weight. The age is that of the report
+/// after the [`FRESH_REPORTS`] newest ones, or of the oldest where there are fewer, but not
+/// below this minimum.
+const MIN_DECAY_AGE: Duration = Duration::from_millis(50);
 
-/// Weight of news however old it is, so that a pool where all is old has a mean too.
-const LEAST_WEIGHT: f64 = 0.02;
+/// Maximum age over which a report loses most of its weight: under overload a pool's load
+/// changes by a quarter within this age.
+const MAX_DECAY_AGE: Duration = Duration::from_millis(600);
 
-/// Share of the back ends whose load has to be known.
-const KNOWN_SHARE: f64 = 0.5;
+/// Minimum weight of a report, so that a pool with only old reports has a mean too.
+const MIN_WEIGHT: f64 = 0.02;
 
-/// Fill of a pool, in slots, from which it is full; the error by chance comes on top.
-const FULL_FROM: f64 = 0.9;
+/// Minimum share of the back ends whose load has to be known.
+const MIN_KNOWN_SHARE: f64 = 0.5;
 
-/// Load of a back end in a full pool, as a multiple of the mean, above which it is full
-/// where loads are known late. Most have room then: how much the pool takes is decided for
-/// the pool as a whole.
-const FULL_ABOVE_MEAN: f64 = 1.25;
+/// Fill of a pool, in slots, from which the pool is full; the random error of the fill is
+/// added.
+const FULL_FILL: f64 = 0.9;
 
-/// Age of what is known of a pool from which it is old.
-const OLD: Duration = Duration::from_millis(100);
+/// Load of a back end in a full pool, as a multiple of the mean, from which the back end is
+/// full where reports are stale. Most back ends have free capacity then: how much the pool
+/// admits is decided for the pool as a whole.
+const FULL_LOAD_OVER_MEAN: f64 = 1.25;
 
-/// What is known of one back end's load.
+/// Mean age of a pool's reports from which they are fully stale.
+const STALE_AGE: Duration = Duration::from_millis(100);
+
+/// Known load of one back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it holds, from all routers.
+    /// Requests that the back end holds, from all routers.
     pub load: f64,
-    /// Requests that it runs at a time; 0 where that is not known.
+    /// Requests that the back end runs at a time; 0 where that is unknown.
     pub slots: u32,
-    /// Age of the news; `None` where nothing is known of it but the own requests.
+    /// Age of the report; `None` where only this router's own requests are known.
     pub age: Option<Duration>,
 }
 
 impl LoadReport {
-    /// Load that is left at a back end that gets no requests: those that it held end.
+    /// Load that is left at a back end that gets no new requests, as those that it held end.
     ///
-    /// What it told stays known for seconds, since nobody hears anew from it. Counted in
-    /// full it makes the mean of a pool look higher than it is, and others get more than
-    /// their bound: with a quarter of 42 back ends drained 3.4 to 6.3 in 100 requests
-    /// went to one that held over twice the mean.
+    /// The last report of such a back end stays known for seconds, since no router gets a
+    /// newer one. Counted in full, that load makes the mean of the pool look higher than it
+    /// is, and other back ends get more than their bound: with a quarter of 42 back ends
+    /// drained, 3.4 to 6.3 in 100 requests went to one that held over twice the mean.
     pub fn residual_load(&self, hold_seconds: f64) -> f64 {
         let Some(age) = self.age else {
             return self.load;
@@ -54,46 +58,46 @@
     }
 }
 
-/// Load of a pool's back ends in the mean.
+/// Load of a pool, as means over its back ends' reports; newer reports weigh more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolLoad {
     /// Number of back ends.
     pub back_ends: usize,
-    /// Requests that one holds.
+    /// Mean number of requests that a back end holds.
     pub mean_load: f64,
-    /// Requests that one runs at a time.
+    /// Mean number of requests that a back end runs at a time.
     pub mean_slots: f64,
-    /// Age of what is known.
+    /// Mean age of the reports.
     pub mean_age: Duration,
-    /// Reports of the same weight that would give as sure a mean.
-    reports: f64,
+    /// Number of equally weighted reports whose mean would be as precise.
+    effective_reports: f64,
 }
 
 impl PoolLoad {
-    /// The load of a pool with these back ends; newer news weighs more. `None` where
-    /// the load of fewer than half is known: then the back ends themselves say whether
-    /// they have room.
+    /// The load of a pool with one report for each back end; newer reports weigh more.
+    /// `None` where the load of fewer than half of the back ends is known: then the back
+    /// ends' own rejections show whether there is free capacity.
     pub fn from_reports(reports: &[LoadReport]) -> Option<Self> {
-        let fresh = fresh_age(reports);
+        let decay_age = decay_age(reports);
         let known: Vec<(f64, &LoadReport)> = reports
             .iter()
             .filter(|report| report.slots > 0)
-            .filter_map(|report| Some((weight(report.age?, fresh), report)))
+            .filter_map(|report| Some((weight(report.age?, decay_age), report)))
             .collect();
-        if known.is_empty() || (known.len() as f64) < KNOWN_SHARE * reports.len() as f64 {
+        if known.is_empty() || (known.len() as f64) < MIN_KNOWN_SHARE * reports.len() as f64 {
             return None;
         }
-        let whole: f64 = known.iter().map(|(weight, _)| weight).sum();
+        let sum: f64 = known.iter().map(|(weight, _)| weight).sum();
         let mean = |of: fn(&LoadReport) -> f64| {
-            let sum: f64 = known
+            let weighted: f64 = known
                 .iter()
                 .map(|(weight, report)| weight * of(report))
                 .sum();
-            sum / whole
+            weighted / sum
         };
         let squares: f64 = known.iter().map(|(weight, _)| weight * weight).sum();
         Some(PoolLoad {
-            reports: whole * whole / squares,
+            effective_reports: sum * sum / squares,
             back_ends: reports.len(),
             mean_load: mean(|report| report.load),
             mean_slots: mean(|report| f64::from(report.slots)),
@@ -103,50 +107,51 @@
         })
     }
 
-    /// Load in multiples of the slots.
+    /// Load as a multiple of the slots.
     pub fn fill(&self) -> f64 {
         self.mean_load / self.mean_slots
     }
 
-    /// Limit of a back end in this pool, from its own limit.
+    /// Limit of a back end's load in this pool, from the back end's own limit.
     ///
-    /// Where loads are known as they are now, each back end's own limit holds: a request
-    /// that its home has no room for goes to one that has. With room up to a multiple of
-    /// the mean it waited there instead (four routers, four days of overload of three
-    /// seeds each: worth 0.709 in the mean, 0.744 without).
-    pub fn back_end_limit(&self, own: f64) -> f64 {
+    /// Where reports are current, each back end's own limit holds: a request whose home is
+    /// full goes to a back end with free capacity. With a limit at a multiple of the mean
+    /// such requests waited at their homes instead, and 0.709 of the worth was earned in
+    /// the mean, 0.744 with the own limit (four routers, four days of overload with three
+    /// seeds each).
+    pub fn back_end_limit(&self, own_limit: f64) -> f64 {
         if self.is_full() {
-            own.max(FULL_ABOVE_MEAN * self.mean_load * self.staleness())
+            own_limit.max(FULL_LOAD_OVER_MEAN * self.mean_load * self.staleness())
         } else {
-            own
+            own_limit
         }
     }
 
-    /// From 0, where the load is known as it is now, to 1, where that is old.
+    /// How stale the reports are: from 0 for current ones to 1 for stale ones.
     pub fn staleness(&self) -> f64 {
-        (self.mean_age.as_secs_f64() / OLD.as_secs_f64()).min(1.0)
+        (self.mean_age.as_secs_f64() / STALE_AGE.as_secs_f64()).min(1.0)
     }
 
-    /// Whether its slots are taken; below that nobody is refused.
+    /// Whether the pool's slots are taken.
     pub fn is_full(&self) -> bool {
         self.fill() >= self.full_threshold()
     }
 
-    /// Fill from which it is full.
+    /// Fill from which the pool is full.
     pub fn full_threshold(&self) -> f64 {
-        FULL_FROM + self.fill_error()
+        FULL_FILL + self.fill_error()
     }
 
-    /// Error of its fill by chance: the requests in the reports that it is taken from
-    /// vary by their square root.
+    /// Random error of the fill: the number of requests in the reports varies by its square
+    /// root.
     pub fn fill_error(&self) -> f64 {
-        1.0 / (self.mean_slots * self.reports).sqrt()
+        1.0 / (self.mean_slots * self.effective_reports).sqrt()
     }
 
-    /// Load of a back end that is to be expected: what was told a while ago says less
-    /// the more requests began and ended since. A load above the mean stays as it was
-    /// told. Without this, back ends of which the news is old and low get what all
-    /// routers send at once.
+    /// Expected present load of a back end. A report says less the more requests began and
+    /// ended since, so that a load below the mean approaches the mean with the age of the
+    /// report; a load above the mean stays as reported. Without this, back ends with stale
+    /// reports of low loads get what all routers send at once.
     pub fn expected_load(&self, report: &LoadReport, hold_seconds: f64) -> f64 {
         let Some(age) = report.age.filter(|_| report.load < self.mean_load) else {
             return report.load;
@@ -156,17 +161,17 @@
     }
 }
 
-fn weight(age: Duration, fresh: Duration) -> f64 {
-    let ratio = age.as_secs_f64() / fresh.as_secs_f64();
-    (-ratio).exp().max(LEAST_WEIGHT)
+fn weight(age: Duration, decay_age: Duration) -> f64 {
+    let ratio = age.as_secs_f64() / decay_age.as_secs_f64();
+    (-ratio).exp().max(MIN_WEIGHT)
 }
 
 /// Age over which a report loses most of its weight.
-fn fresh_age(reports: &[LoadReport]) -> Duration {
+fn decay_age(reports: &[LoadReport]) -> Duration {
     let mut ages: Vec<Duration> = reports.iter().filter_map(|report| report.age).collect();
     let Some(last) = ages.len().checked_sub(1) else {
-        return LONGEST_FRESH;
+        return MAX_DECAY_AGE;
     };
-    let (_, age, _) = ages.select_nth_unstable(last.min(NEWEST));
-    (*age).clamp(SHORTEST_FRESH, LONGEST_FRESH)
+    let (_, age, _) = ages.select_nth_unstable(last.min(FRESH_REPORTS));
+    (*age).clamp(MIN_DECAY_AGE, MAX_DECAY_AGE)
 }
--- a/crates/stacktack-core/src/direct/admission/target_fill.rs
+++ b/crates/stacktack-core/src/direct/admission/target_fill.rs
@@ -1,86 +1,93 @@
-//! How full a pool may be, found from how late its answers begin.
+//! Target fill of a full pool, found from the share of late responses.
 //!
-//! Past some fill engines give less the more they hold, and where that lies differs by
-//! work: prompts that are read between the tokens of others, memory for tokens, length of
-//! answers. Slots do not tell it. So the fill that a full pool is kept at falls while too
-//! many first tries are answered late, and rises again while few are, by small steps.
-//! The load of a pool is common: the routers of a fleet see the same and go the same way.
-//! Callers that came back are left out: they are late whatever the pool does.
+//! Past some fill engines deliver less the more requests they hold. Where that point lies
+//! differs with the work: prompts that are read between the tokens of others, memory for
+//! tokens, length of responses. The number of slots does not show it. So the fill at which
+//! a full pool is kept falls by small steps while too many first tries are answered late,
+//! and rises again while few are. All routers of a fleet see the same load of a pool and
+//! move their targets the same way. Returning callers are left out: they are answered late
+//! whatever the pool does.
 //!
-//! At six times the usual load, in 12 s of it, 25,360 answers were in time in place of
-//! 22,577 (42 engines, 23 routers), and on four other deployments 13,883 of 11,961, 24,808
-//! of 23,824, 23,751 of 21,049 and, where four routers know the loads as they are, 10,561
-//! of 10,946.
+//! During 12 s at six times the usual load, 25,360 responses were in time instead of 22,577
+//! (42 engines, 23 routers). On other deployments 13,883 were in time instead of 11,961,
+//! 24,808 instead of 23,824, and 23,751 instead of 21,049; but 10,561 instead of 10,946
+//! where four routers know current loads.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time between two steps, and first tries that have to be answered meanwhile: the load of
-/// a pool follows within about as long.
-const BETWEEN_STEPS: Duration = Duration::from_millis(300);
-const LEAST_ANSWERS: u32 = 6;
+/// Minimum time between two steps: the load of a pool follows a step within about as long.
+const MIN_STEP_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Share of the first tries that may be answered late: above the first bound the fill
-/// falls, below the second it rises. A late answer is worth about a third of one in time,
-/// and engines give more in all the fuller they are: with 0.10 and 0.05 fewer answers were
-/// in time on four of five long overloads, and 0.007 to 0.037 of worth less was earned there.
-const TOO_MANY_LATE: f64 = 0.25;
-const FEW_LATE: f64 = 0.15;
+/// Minimum number of responses to first tries on which a step is based.
+const MIN_RESPONSES: u32 = 6;
 
-/// Steps of the fill, in slots.
-const FALL: f64 = 0.04;
-const RISE: f64 = 0.02;
+/// Share of late responses to first tries above which the fill falls. A late response is
+/// worth about a third of one in time, and engines deliver more in all the fuller they
+/// are: with 0.10 here and 0.05 for [`RISE_LATE_SHARE`] fewer responses were in time in
+/// four of five long overloads, and 0.007 to 0.037 less worth was earned there.
+const MAX_LATE_SHARE: f64 = 0.25;
 
-/// Least fill that is aimed at, in slots: late answers below it have other causes, which
-/// refusing does not mend.
-const LEAST: f64 = 0.55;
+/// Share of late responses to first tries below which the fill rises.
+const RISE_LATE_SHARE: f64 = 0.15;
 
-/// Distance from the target within which a pool's answers say something of it, in slots.
-const NEAR: f64 = 0.15;
+/// Step by which the fill falls, in slots.
+const FALL_STEP: f64 = 0.04;
 
-/// The fill of a pool that is aimed at when there is too much.
+/// Step by which the fill rises, in slots.
+const RISE_STEP: f64 = 0.02;
+
+/// Minimum target fill, in slots: late responses below it have other causes, which refusing
+/// requests does not remove.
+const MIN_TARGET: f64 = 0.55;
+
+/// Distance of the fill below its target, in slots, beyond which late responses say nothing
+/// about the target; the target then rises.
+const NEAR_TARGET: f64 = 0.15;
+
+/// Target for the fill of a pool that gets more requests than it can serve.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetFill {
-    /// Below the most that waits allow, in slots.
-    below_most: f64,
-    answers: u32,
+    /// Distance of the target below the maximum that waits allow, in slots.
+    below_max: f64,
+    responses: u32,
     late: u32,
-    stepped: Option<Time>,
+    last_step: Option<Time>,
 }
 
 impl TargetFill {
-    /// A first try was answered, late or not.
+    /// The response to a first try began; `late` if that was after the latency objective.
     pub fn on_first_try_response(&mut self, late: bool) {
-        self.answers += 1;
+        self.responses += 1;
         self.late += u32::from(late);
     }
 
-    /// The fill that is aimed at, at most `most`, in a pool with this fill.
-    pub fn target(&mut self, most: f64, fill: f64, now: Time) -> f64 {
-        let stepped = *self.stepped.get_or_insert(now);
-        if now.since(stepped) >= BETWEEN_STEPS {
-            self.step(most, fill);
-            self.stepped = Some(now);
+    /// The target fill, at most `max`, of a pool whose present fill is `fill`.
+    pub fn target(&mut self, max: f64, fill: f64, now: Time) -> f64 {
+        let last_step = *self.last_step.get_or_insert(now);
+        if now.since(last_step) >= MIN_STEP_INTERVAL {
+            self.step(max, fill);
+            self.last_step = Some(now);
         }
-        most - self.below_most
+        max - self.below_max
     }
 
-    fn step(&mut self, most: f64, fill: f64) {
-        if fill + NEAR < most - self.below_most {
-            self.below_most -= RISE;
-        } else if self.answers >= LEAST_ANSWERS {
-            let share = f64::from(self.late) / f64::from(self.answers);
-            if share > TOO_MANY_LATE {
-                self.below_most += FALL;
-            } else if share < FEW_LATE {
-                self.below_most -= RISE;
+    fn step(&mut self, max: f64, fill: f64) {
+        if fill + NEAR_TARGET < max - self.below_max {
+            self.below_max -= RISE_STEP;
+        } else if self.responses >= MIN_RESPONSES {
+            let share = f64::from(self.late) / f64::from(self.responses);
+            if share > MAX_LATE_SHARE {
+                self.below_max += FALL_STEP;
+            } else if share < RISE_LATE_SHARE {
+                self.below_max -= RISE_STEP;
             }
         } else {
             return;
         }
-        self.below_most = self.below_most.clamp(0.0, (most - LEAST).max(0.0));
-        self.answers = 0;
+        self.below_max = self.below_max.clamp(0.0, (max - MIN_TARGET).max(0.0));
+        self.responses = 0;
         self.late = 0;
     }
 }
--- a/crates/stacktack-core/src/direct/admission/tenant_shares.rs
+++ b/crates/stacktack-core/src/direct/admission/tenant_shares.rs
@@ -1,9 +1,9 @@
 //! Fair shares of a full pool between tenants.
 //!
-//! Who sends clearly more than while the pool had room, compared with how much more the
-//! others send, gets what the others leave of a full pool: one tenant's surge is felt by
-//! that tenant. In a burst in which all send more alike, nobody surges. Each router knows
-//! its own callers only.
+//! A tenant surges when it sends clearly more than it did while the pool had free capacity,
+//! compared with how much more the others send. A surging tenant gets what the others leave
+//! of a full pool, so that its surge is felt by that tenant alone. In a burst in which all
+//! tenants send more alike, none surges. Each router knows its own callers only.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,61 +11,65 @@
 use crate::direct::admission::rate::DecayingRate;
 use crate::time::Time;
 
-/// Time over which a tenant's present requests are counted, and its usual ones.
-const PRESENT: Duration = Duration::from_secs(2);
-const USUAL: Duration = Duration::from_secs(20);
+/// Time constant over which a tenant's present requests are counted.
+const PRESENT_WINDOW: Duration = Duration::from_secs(2);
 
-/// Requests of a tenant within [`PRESENT`] that are never refused for its share: single
-/// requests of small tenants say nothing of a surge.
-const ALWAYS: f64 = 2.0;
+/// Time constant over which a tenant's usual requests are counted.
+const USUAL_WINDOW: Duration = Duration::from_secs(20);
+
+/// Requests of a tenant within [`PRESENT_WINDOW`] that are never refused for its share:
+/// single requests of small tenants are no sign of a surge.
+const ALLOWED_REQUESTS: f64 = 2.0;
 
 /// Multiple of the others' growth above which a tenant surges; counts over two seconds
 /// vary.
-const SURGE: f64 = 1.5;
+const SURGE_RATIO: f64 = 1.5;
 
-/// Least usual rate, as a share of the mean over tenants: a new tenant has none yet.
-const LEAST_USUAL: f64 = 0.2;
+/// Minimum usual rate of a tenant, as a share of the mean over tenants: a new tenant has no
+/// usual rate yet.
+const MIN_USUAL_SHARE: f64 = 0.2;
 
-/// Tenants that are remembered in one pool.
-const MAXIMUM_TENANTS: usize = 512;
+/// Maximum number of tenants that are remembered in one pool.
+const MAX_TENANTS: usize = 512;
 
 #[derive(Clone, Debug)]
 struct TenantRates {
     present: DecayingRate,
+    /// Counted only while the pool has free capacity.
     usual: DecayingRate,
-    seen: Time,
+    last_seen: Time,
 }
 
-/// Requests of tenants to a pool at one router.
+/// Request rates of the tenants of a pool at one router.
 #[derive(Clone, Debug, Default)]
 pub struct TenantShares {
     tenants: HashMap<u64, TenantRates>,
 }
 
 impl TenantShares {
-    /// A request of a tenant came, for a pool that is full or has room.
+    /// A request of a tenant came. `full` tells whether the pool is full.
     pub fn on_request(&mut self, tenant: u64, full: bool, now: Time) {
-        if self.tenants.len() >= MAXIMUM_TENANTS && !self.tenants.contains_key(&tenant) {
+        if self.tenants.len() >= MAX_TENANTS && !self.tenants.contains_key(&tenant) {
             self.tenants
-                .retain(|_, known| now.since(known.seen) < USUAL);
-            if self.tenants.len() >= MAXIMUM_TENANTS {
+                .retain(|_, known| now.since(known.last_seen) < USUAL_WINDOW);
+            if self.tenants.len() >= MAX_TENANTS {
                 return;
             }
         }
         let known = self.tenants.entry(tenant).or_insert_with(|| TenantRates {
-            present: DecayingRate::new(PRESENT),
-            usual: DecayingRate::new(USUAL),
-            seen: now,
+            present: DecayingRate::new(PRESENT_WINDOW),
+            usual: DecayingRate::new(USUAL_WINDOW),
+            last_seen: now,
         });
-        known.seen = now;
+        known.last_seen = now;
         known.present.count(1.0, now);
         if !full {
             known.usual.count(1.0, now);
         }
     }
 
-    /// Whether a tenant sends clearly more beyond its usual than the others do beyond
-    /// theirs.
+    /// Whether a tenant's rate exceeds its usual rate by clearly more than the others'
+    /// rates exceed theirs.
     pub fn is_surging(&self, tenant: u64, now: Time) -> bool {
         let Some(known) = self.tenants.get(&tenant) else {
             return false;
@@ -77,20 +81,21 @@
         if others.1 <= 0.0 {
             return false;
         }
-        let least = LEAST_USUAL * all.1 / self.tenants.len() as f64;
-        let usual = (own.1 * known.doubt(now)).max(least);
+        let min_usual = MIN_USUAL_SHARE * all.1 / self.tenants.len() as f64;
+        let usual = (own.1 * known.uncertainty(now)).max(min_usual);
         let expected = usual * others.0 / others.1;
-        own.0 > SURGE * expected + ALWAYS / PRESENT.as_secs_f64()
+        own.0 > SURGE_RATIO * expected + ALLOWED_REQUESTS / PRESENT_WINDOW.as_secs_f64()
     }
 }
 
 impl TenantRates {
-    /// By how much its usual rate may be higher than counted: two deviations of a count.
-    fn doubt(&self, now: Time) -> f64 {
+    /// Factor by which the usual rate may be higher than counted: two standard deviations of
+    /// the count.
+    fn uncertainty(&self, now: Time) -> f64 {
         1.0 + 2.0 / self.usual.decayed_count(now).max(1.0).sqrt()
     }
 
-    /// Present and usual requests a second.
+    /// Present and usual requests per second.
     fn rates(&self, now: Time) -> (f64, f64) {
         (self.present.per_second(now), self.usual.per_second(now))
     }
--- a/crates/stacktack-core/src/direct/traffic/configuration_changes.rs
+++ b/crates/stacktack-core/src/direct/traffic/configuration_changes.rs
@@ -1,9 +1,9 @@
-//! What changed from one version of the traffic configuration to a later one.
+//! Deltas between versions of the traffic configuration.
 //!
-//! A router that lags takes over changes, not documents: a version that adds one route
-//! to 1,650 is some 300 bytes in place of 464 kB, which takes 0.4 s of a link of
-//! 10 Mbit/s. A version is the same everywhere, so that changes from the version that
-//! the other has give exactly the version that this router has.
+//! A router with an older version gets the changes instead of the whole document: a version
+//! that adds one route to 1,650 is some 300 bytes instead of 464 kB, which take 0.4 s on a
+//! link of 10 Mbit/s. A version has the same content at all routers, so that the changes
+//! from the version of the receiver give exactly the version of the sender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,42 +15,42 @@
     ApiKeyTable, CallerLimits, Route, RouteTable, Tenant, TrafficConfiguration,
 };
 
-/// Versions whose changes are remembered: at a change every 1.35 s those of the last
-/// 40 s, more than other routers are usually away for.
-const REMEMBERED_VERSIONS: usize = 32;
+/// Maximum number of versions whose changes are remembered: at a change every 1.35 s those
+/// of the last 40 s, longer than other routers are usually away.
+const MAX_VERSIONS: usize = 32;
 
-/// Routes and keys that are remembered over all of these versions, each some 300
-/// bytes: beyond this the whole document is about as small.
-const REMEMBERED_ENTRIES: usize = 2048;
+/// Maximum number of changed routes and keys that are remembered over all versions, each
+/// some 300 bytes: beyond this the whole document is about as small.
+const MAX_ENTRIES: usize = 2048;
 
 /// Host and path prefix of a route.
 type RouteKey = (String, String);
 
-/// What changed from one version to another.
+/// Changes from one version to a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationChanges {
-    /// The version that they apply to.
+    /// Version that the changes apply to.
     pub from: u64,
-    /// The version that they lead to.
+    /// Version that the changes lead to.
     pub version: u64,
-    /// Revision of the source as of which that version was stored.
+    /// Revision of the source at which [`Self::version`] was stored; 0 if unknown.
     pub revision: u64,
-    /// Routes that are new or changed.
+    /// New and changed routes.
     pub routes: Vec<Route>,
-    /// Host and path prefix of routes that are gone.
+    /// Host and path prefix of each removed route.
     pub dropped_routes: Vec<RouteKey>,
-    /// Keys that are new or changed hands, with their tenants.
+    /// API keys that are new or have another tenant, with their tenants.
     pub keys: Vec<(Tenant, String)>,
-    /// Keys that are gone.
+    /// Removed API keys.
     pub dropped_keys: Vec<String>,
-    /// Bounds on what a caller may send.
+    /// Caller limits of the later version.
     pub limits: CallerLimits,
-    /// What cold back ends bear.
+    /// Slow starts of the later version.
     pub slow_starts: Vec<SlowStart>,
 }
 
 impl ConfigurationChanges {
-    /// The configuration that they lead to; `None` if they apply to another version.
+    /// Applies the changes to `before`. Returns `None` if they apply to another version.
     pub fn apply_to(self, before: &TrafficConfiguration) -> Option<TrafficConfiguration> {
         if before.version != self.from {
             return None;
@@ -63,12 +63,12 @@
             routes.insert(Arc::new(route));
         }
         let mut keys = before.keys.clone();
-        if let Some(ring) = &mut keys {
+        if let Some(table) = &mut keys {
             for key in &self.dropped_keys {
-                ring.remove(key);
+                table.remove(key);
             }
             for (tenant, key) in self.keys {
-                ring.insert(key, Arc::new(tenant));
+                table.insert(key, Arc::new(tenant));
             }
         }
         Some(TrafficConfiguration {
@@ -82,18 +82,18 @@
     }
 }
 
-/// What one version changed; `None` for what it dropped.
+/// Changes of one version; a value of `None` stands for a removed entry.
 #[derive(Clone, Debug)]
-struct Step {
+struct VersionDelta {
     from: u64,
     routes: BTreeMap<RouteKey, Option<Arc<Route>>>,
     keys: BTreeMap<String, Option<Arc<Tenant>>>,
 }
 
-impl Step {
+impl VersionDelta {
     fn between(before: &TrafficConfiguration, after: &TrafficConfiguration) -> Self {
         let (old_keys, new_keys) = (before.keys.as_ref(), after.keys.as_ref());
-        Step {
+        VersionDelta {
             from: before.version,
             routes: changed_routes(&before.routes, &after.routes),
             keys: match (old_keys, new_keys) {
@@ -113,70 +113,70 @@
     after: &RouteTable,
 ) -> BTreeMap<RouteKey, Option<Arc<Route>>> {
     let key = |route: &Route| (route.host.clone(), route.path_prefix.clone());
-    let set = after
+    let changed = after
         .iter_shared()
         .filter(|route| before.get(&route.host, &route.path_prefix) != Some(route))
         .map(|route| (key(route), Some(route.clone())));
-    let dropped = before
+    let removed = before
         .iter_shared()
         .filter(|route| after.get(&route.host, &route.path_prefix).is_none())
         .map(|route| (key(route), None));
-    set.chain(dropped).collect()
+    changed.chain(removed).collect()
 }
 
 fn changed_keys(
     before: &ApiKeyTable,
     after: &ApiKeyTable,
 ) -> BTreeMap<String, Option<Arc<Tenant>>> {
-    let set = after
+    let changed = after
         .iter_shared()
         .filter(|(key, tenant)| before.tenant(key) != Some(tenant))
         .map(|(key, tenant)| (key.to_owned(), Some(tenant.clone())));
-    let dropped = before
+    let removed = before
         .iter_shared()
         .filter(|(key, _)| after.tenant(key).is_none())
         .map(|(key, _)| (key.to_owned(), None));
-    set.chain(dropped).collect()
+    changed.chain(removed).collect()
 }
 
-/// What the last versions changed, to hand on.
+/// Changes of the latest versions, from which routers with an older version are updated.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
-    /// One step for each version that came into force, the newest last.
-    steps: VecDeque<Step>,
+    /// One delta for each version that came into force, the newest last.
+    deltas: VecDeque<VersionDelta>,
 }
 
 impl ConfigurationHistory {
-    /// A version came into force in place of another one.
+    /// Version `after` came into force in place of `before`.
     pub fn record(&mut self, before: &TrafficConfiguration, after: &TrafficConfiguration) {
         if before.keys.is_some() != after.keys.is_some() {
-            // Whether keys are needed at all is not told as a change.
-            self.steps.clear();
+            // Changes cannot express whether API keys are required at all.
+            self.deltas.clear();
             return;
         }
-        self.steps.push_back(Step::between(before, after));
-        while self.steps.len() > REMEMBERED_VERSIONS || self.entries() > REMEMBERED_ENTRIES {
-            self.steps.pop_front();
+        self.deltas.push_back(VersionDelta::between(before, after));
+        while self.deltas.len() > MAX_VERSIONS || self.entries() > MAX_ENTRIES {
+            self.deltas.pop_front();
         }
     }
 
     fn entries(&self) -> usize {
-        self.steps.iter().map(Step::entries).sum()
+        self.deltas.iter().map(VersionDelta::entries).sum()
     }
 
-    /// What changed from a version to the one in force; `None` when that version was
-    /// not in force here or is too long ago.
+    /// Changes from `version` to the version in force; `None` when `version` was not in
+    /// force here or is no longer remembered.
     pub fn changes_from(
         &self,
         version: u64,
         in_force: &TrafficConfiguration,
     ) -> Option<ConfigurationChanges> {
-        let first = self.steps.iter().position(|step| step.from == version)?;
+        let first = self.deltas.iter().position(|delta| delta.from == version)?;
         let mut routes = BTreeMap::new();
         let mut keys = BTreeMap::new();
-        for step in self.steps.iter().skip(first) {
-            routes.extend(&step.routes);
-            keys.extend(&step.keys);
+        for delta in self.deltas.iter().skip(first) {
+            routes.extend(&delta.routes);
+            keys.extend(&delta.keys);
         }
         let mut changes = ConfigurationChanges {
             from: version,
--- a/crates/stacktack-core/src/direct/traffic/mod.rs
+++ b/crates/stacktack-core/src/direct/traffic/mod.rs
@@ -1,7 +1,7 @@
 //! The traffic configuration.
 //!
-//! - [`route`]: routes, keys and limits.
-//! - [`configuration_changes`]: what changed from one version to another.
+//! - [`route`]: routes, API keys and caller limits.
+//! - [`configuration_changes`]: deltas between versions.
 
 pub mod configuration_changes;
 pub mod route;
--- a/crates/stacktack-core/src/direct/traffic/route.rs
+++ b/crates/stacktack-core/src/direct/traffic/route.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and limits: the traffic configuration of a direct router.
+//! The traffic configuration of a direct router: routes, API keys and caller limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,16 +11,17 @@
 use crate::configuration::selector::Requirement;
 use crate::direct::back_ends::slow_start::SlowStart;
 
-/// How often a request of a route may run.
+/// How often a request of a route may run, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// A stream of events; runs at most once.
+    /// Answered by a stream of events; runs at most once.
     Stream,
-    /// A stream that another back end may continue after its last event.
+    /// Answered by a stream of events that another back end may continue after the last
+    /// event that was passed on.
     ResumableStream,
 }
 
@@ -30,48 +31,49 @@
         matches!(self, RouteKind::Repeatable | RouteKind::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
     }
 }
 
-/// One share of a route's traffic: back ends whose labels meet all conditions.
+/// Back ends that get one share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Conditions on the back end's labels.
+    /// Conditions on the back ends' labels, all of which must hold.
     pub back_ends: Vec<Requirement>,
     /// Share of the traffic, relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A route.
+/// Rules for the requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// Host that it serves, in lower case without a port.
+    /// Host of the requests, in lower case without a port.
     pub host: String,
-    /// Prefix of the path; starts and ends with a slash.
+    /// Prefix of the requests' paths; starts and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// How often a request may run, and whether its response is a stream.
     pub kind: RouteKind,
-    /// Where its traffic goes; never empty.
+    /// Back ends that the traffic goes to; never empty.
     pub targets: Vec<Target>,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is held.
     pub timeout: Duration,
-    /// Time within which an answer (the first event of a stream) is wanted.
+    /// Latency objective: time within which a response (the first event of a stream) is
+    /// wanted.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Largest number of back ends that one request is sent to.
+    /// Maximum number of back ends that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// The target that a draw falls on, by weight.
+    /// Index of the target that a uniform `draw` selects, in proportion to the weights.
     pub fn draw_target(&self, draw: u32) -> usize {
         let sum: u64 = self
             .targets
@@ -98,7 +100,7 @@
 }
 
 impl RouteTable {
-    /// A table of routes; of two with the same host and prefix the last stays.
+    /// A table of these routes. Of several with the same host and prefix the last one wins.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut table = RouteTable::default();
         for route in routes {
@@ -107,7 +109,7 @@
         table
     }
 
-    /// Adds a route, in place of the one with its host and prefix.
+    /// Adds a route, replacing the one with the same host and prefix.
     pub fn insert(&mut self, route: Arc<Route>) {
         let host = self.hosts.entry(route.host.clone()).or_default();
         if host.insert(route.path_prefix.clone(), route).is_none() {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Takes a route out.
+    /// Removes the route with exactly this host and prefix, if there is one.
     pub fn remove(&mut self, host: &str, path_prefix: &str) {
         let Some(prefixes) = self.hosts.get_mut(host) else {
             return;
@@ -133,12 +135,12 @@
         self.hosts.get(host)?.get(path_prefix)
     }
 
-    /// All routes, as they are shared.
+    /// All routes as shared pointers, in no particular order.
     pub fn iter_shared(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flat_map(HashMap::values)
     }
 
-    /// All routes.
+    /// All routes, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Route> {
         self.iter_shared().map(Arc::as_ref)
     }
@@ -153,8 +155,8 @@
         self.count == 0
     }
 
-    /// The route of the host whose prefix is the longest that begins the path.
-    /// `host` may carry a port.
+    /// The route of the host with the longest prefix of the path. `host` may include a port
+    /// and upper-case letters.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.hosts.get(name) {
@@ -172,59 +174,61 @@
     }
 }
 
-/// A tenant as keys name it.
+/// A tenant, identified by API keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Unique name.
     pub name: String,
-    /// Rank of its requests in place of the route's.
+    /// Priority of the tenant's requests in place of the route's; `None` keeps that of the
+    /// route.
     pub priority: Option<u8>,
 }
 
 impl Tenant {
-    /// Hash of the name, to count its requests by.
+    /// Hash of the name, by which the tenant's requests are counted.
     pub fn name_hash(&self) -> u64 {
         xxh3_64(self.name.as_bytes())
     }
 }
 
-/// Tenants by key.
+/// Tenants by API key.
 #[derive(Clone, Debug, Default)]
 pub struct ApiKeyTable {
     tenants: HashMap<String, Arc<Tenant>>,
 }
 
 impl ApiKeyTable {
-    /// A ring of tenants and their keys.
+    /// A table of these tenants and their API keys.
     pub fn new(tenants: impl IntoIterator<Item = (Tenant, Vec<String>)>) -> Self {
-        let mut ring = ApiKeyTable::default();
+        let mut table = ApiKeyTable::default();
         for (tenant, keys) in tenants {
             let tenant = Arc::new(tenant);
             for key in keys {
-                ring.insert(key, tenant.clone());
+                table.insert(key, tenant.clone());
             }
         }
-        ring
+        table
     }
 
-    /// Gives a key to a tenant.
+    /// Assigns a key to a tenant, in place of the key's tenant so far.
     pub fn insert(&mut self, key: String, tenant: Arc<Tenant>) {
         self.tenants.insert(key, tenant);
     }
 
-    /// Takes a key away.
+    /// Removes a key.
     pub fn remove(&mut self, key: &str) {
         self.tenants.remove(key);
     }
 
-    /// All keys with their tenants, as they are shared.
+    /// All keys with their tenants as shared pointers, in no particular order.
     pub fn iter_shared(&self) -> impl Iterator<Item = (&str, &Arc<Tenant>)> {
         self.tenants
             .iter()
             .map(|(key, tenant)| (key.as_str(), tenant))
     }
 
-    /// All tenants with their keys.
+    /// All tenants with their keys, in no particular order; a tenant occurs once for each of
+    /// its keys.
     pub fn iter(&self) -> impl Iterator<Item = (&Tenant, &str)> {
         self.iter_shared()
             .map(|(key, tenant)| (tenant.as_ref(), key))
@@ -239,13 +243,13 @@
 /// Bounds on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request head to arrive.
+    /// Maximum time for a request head to arrive.
     pub header_timeout: Duration,
-    /// Longest rest of a connection between requests.
+    /// Maximum time for which a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
@@ -263,35 +267,36 @@
 /// One version of the traffic configuration.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficConfiguration {
-    /// Version; a process only ever takes a higher one.
+    /// Version number; a process replaces a version only by a higher one.
     pub version: u64,
-    /// Revision of its source as of which it was stored; 0 if not known. Who has this
-    /// version, from whomever, needs nothing older from the source.
+    /// Revision of the source at which this version was stored; 0 if unknown. A router that
+    /// has this version, from the source or from a peer, needs nothing older from the
+    /// source.
     pub revision: u64,
     /// Routes.
     pub routes: RouteTable,
-    /// Tenants by key; `None` when requests need no key.
+    /// Tenants by API key; `None` when requests need no key.
     pub keys: Option<ApiKeyTable>,
     /// Bounds on what a caller may send.
     pub limits: CallerLimits,
-    /// What cold back ends bear, for pools whose back ends start slowly.
+    /// Request rates that cold back ends can take, for pools whose back ends start slowly.
     pub slow_starts: Vec<SlowStart>,
 }
 
-/// A configuration as routers hand it on.
+/// A whole configuration in the form in which routers send it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrafficDocument {
-    /// Version.
+    /// Version number.
     pub version: u64,
-    /// Revision of its source as of which it was stored.
+    /// Revision of the source at which this version was stored; 0 if unknown.
     pub revision: u64,
     /// Routes.
     pub routes: Vec<Route>,
-    /// Keys with their tenants; `None` when requests need no key.
+    /// API keys with their tenants; `None` when requests need no key.
     pub keys: Option<Vec<(Tenant, String)>>,
     /// Bounds on what a caller may send.
     pub limits: CallerLimits,
-    /// What cold back ends bear.
+    /// Request rates that cold back ends can take, for pools whose back ends start slowly.
     pub slow_starts: Vec<SlowStart>,
 }
 
