--- a/crates/stacktack-core/src/direct/choice/part_shares.rs
+++ b/crates/stacktack-core/src/direct/choice/part_shares.rs
@@ -1,66 +1,69 @@
-//! How large a share of a router's own requests has the same prompt part.
+//! The share of a router's recent requests that have the same prompt part, and the number of
+//! replicas that follows from it.
 //!
-//! All routers see about the same mix of parts, so that the share which a router gives one place is
-//! the share which all give it. That is known at once, where loads are known later than requests
-//! are held: with loads alone all send a part that became hot to its home, hear of the crowd
-//! when it is there, and pass it by until it is gone.
+//! All routers see about the same mix of parts, so the share that one router sends to a replica
+//! is the share that all routers send to it. Shares are known at once, whereas load reports can
+//! be older than the time for which a request is in flight. With load reports alone, all routers
+//! send a part that became hot to its home, learn of the overload only once it is there, and then
+//! all avoid the home until it is idle again.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time for which a request counts: after it a part that cooled down is back at its home.
-const SPAN: Duration = Duration::from_secs(2);
+/// Time for which a request counts. A part that is no longer hot is back at its home after this
+/// time.
+const WINDOW: Duration = Duration::from_secs(2);
 
-/// Requests that count at most.
-const MOST_SEEN: usize = 4096;
+/// Maximum number of requests that count.
+const MAX_RECENT_REQUESTS: usize = 4096;
 
-/// Requests of a router with the same part from which its share is known: fewer come together by chance
-/// where a router gets few requests, and each further place reads the part once more.
-const LEAST_SEEN: u32 = 3;
+/// Minimum number of recent requests with a part before the part is spread. Where a router gets few
+/// requests, fewer coincide by chance, and each further replica has to read the part once more.
+const MIN_PART_REQUESTS: u32 = 3;
 
-/// Multiple of a back end's mean load that one part may bring to one place. What the back end holds in
-/// other parts comes on top.
-const MOST_OF_MEAN: f64 = 0.15;
+/// Maximum load that one part may bring to one replica, as a multiple of the mean load of a back
+/// end. The load of other parts comes on top.
+const MAX_PART_LOAD_OF_MEAN: f64 = 0.15;
 
-/// The pool that a part's requests go to.
+/// Size and load of the pool that a part's requests go to.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolStats {
-    /// Number of its members.
+    /// Number of members of the pool.
     pub members: usize,
-    /// Requests that one holds in the mean.
+    /// Mean number of requests in flight at a member.
     pub mean_load: f64,
-    /// Requests above the mean at which a home is passed by.
+    /// Requests above the mean load at which requests spill over from a home.
     pub spill_headroom: f64,
 }
 
-/// Parts of a router's requests to one pool of late.
+/// Parts of a router's recent requests to one pool.
 #[derive(Clone, Debug, Default)]
 pub struct PartShares {
-    seen: VecDeque<(Time, u64)>,
+    recent: VecDeque<(Time, u64)>,
     counts: HashMap<u64, u32>,
 }
 
 impl PartShares {
-    /// A request with a part came.
+    /// Counts a request with a part.
     pub fn record(&mut self, part: u64, now: Time) {
-        self.forget(now);
-        self.seen.push_back((now, part));
+        self.expire(now);
+        self.recent.push_back((now, part));
         *self.counts.entry(part).or_insert(0) += 1;
     }
 
-    fn forget(&mut self, now: Time) {
-        while let Some((at, part)) = self.seen.front().copied() {
-            if now.since(at) < SPAN && self.seen.len() < MOST_SEEN {
+    fn expire(&mut self, now: Time) {
+        while let Some((at, part)) = self.recent.front().copied() {
+            if now.since(at) < WINDOW && self.recent.len() < MAX_RECENT_REQUESTS {
                 return;
             }
-            self.seen.pop_front();
-            self.take_off(part);
+            self.recent.pop_front();
+            self.decrement(part);
         }
     }
 
-    fn take_off(&mut self, part: u64) {
+    fn decrement(&mut self, part: u64) {
         if let Some(count) = self.counts.get_mut(&part) {
             *count -= 1;
             if *count == 0 {
@@ -69,20 +72,24 @@
         }
     }
 
-    /// Places over which a part is spread: one, as long as all its load fits into what the bound of a home leaves
-    /// above the mean, and unless the part surely has a larger share of the requests than one place should get.
+    /// Number of replicas over which a part is spread.
+    ///
+    /// A part has one replica as long as its whole load fits into the spill headroom of its home.
+    /// Otherwise the number follows from its share of the requests, with its count reduced by one
+    /// standard deviation: a part is spread only if its share surely exceeds what one replica
+    /// should get.
     pub fn replicas(&self, part: u64, pool: &PoolStats) -> usize {
         let count = self.counts.get(&part).copied().unwrap_or(0);
-        if count < LEAST_SEEN {
+        if count < MIN_PART_REQUESTS {
             return 1;
         }
         let count = f64::from(count);
-        let share = (count - count.sqrt()) / self.seen.len().max(1) as f64;
+        let share = (count - count.sqrt()) / self.recent.len().max(1) as f64;
         let members = pool.members as f64;
         if share * members * pool.mean_load <= pool.spill_headroom {
             return 1;
         }
-        let places = share * members / MOST_OF_MEAN;
-        (places as usize).clamp(1, pool.members.max(1))
+        let replicas = share * members / MAX_PART_LOAD_OF_MEAN;
+        (replicas as usize).clamp(1, pool.members.max(1))
     }
 }
--- a/crates/stacktack-core/src/direct/choice/prompt.rs
+++ b/crates/stacktack-core/src/direct/choice/prompt.rs
@@ -1,31 +1,30 @@
 //! The chain of prompt parts that a request announces.
 //!
-//! Parts are shared between requests from the front: a part is reusable at a
-//! back end only together with every part before it. The last part belongs to
-//! the request or its session.
+//! Requests share parts from the front: a back end can reuse a cached part only together with
+//! every part before it. The last part belongs to the request or its session.
 
 use thiserror::Error;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part; equal parts have equal identities.
+    /// Identifier of the content of the part: equal parts have equal identifiers.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The parts of a prompt in order.
+/// The parts of a prompt, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptChain {
-    /// The parts, from the front.
+    /// The parts, from the start of the prompt.
     pub parts: Vec<PromptPart>,
 }
 
-/// A chain that does not parse.
+/// Error of parsing a prompt chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PromptError {
-    /// An entry is not `ID:TOKENS` with a hexadecimal id.
+    /// The entry at this index is not `ID:TOKENS` with a hexadecimal id.
     #[error("entry {0} of the prompt chain is not ID:TOKENS")]
     Entry(usize),
 }
@@ -41,20 +40,20 @@
         Ok(PromptChain { parts })
     }
 
-    /// The last part that other requests share, by which requests are kept
-    /// together; the only part if there is but one.
+    /// The last part that other requests share, which decides the home of the request; if there
+    /// is only one part, that part. `None` for an empty chain.
     pub fn affinity_part(&self) -> Option<PromptPart> {
         let last = self.parts.len().checked_sub(1)?;
         Some(self.parts[last.saturating_sub(1)])
     }
 
-    /// Tokens that other requests share.
+    /// Number of tokens in all parts but the last, which other requests share.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self.parts.len().saturating_sub(1);
         self.parts[..shared].iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of the whole prompt.
+    /// Number of tokens in the whole prompt.
     pub fn tokens(&self) -> u32 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -1,86 +1,89 @@
 //! Choice of a back end: a pure function over a snapshot.
 //!
-//! Requests with a shared prompt part are kept together by rendezvous hashing:
-//! the hash of part and back end orders the candidates, the same order at each
-//! router. A part that many requests share is spread over the first places of its order.
-//! The first that has room and whose load is within the bound takes the request; when
-//! none is, the least loaded one. When the first four are full and the
-//! pool as a whole is, no further one is asked for room. Requests without a part go to
-//! the least loaded candidate of their own zone unless another zone is clearly freer.
+//! Requests with a shared prompt part are kept together by rendezvous hashing: the hash of part
+//! and back end orders the candidates, in the same order at each router. The first back end of
+//! the order is the home of the part; a part that many requests share is spread over the first few
+//! back ends, its replicas. The request goes to the first candidate that has free capacity and
+//! whose load is below the spill bound, or to the least loaded candidate if there is none. When the
+//! pool is full as a whole and the first four candidates are full, no further candidate is tried.
+//! Requests without a part go to the least loaded candidate of the router's zone, unless another
+//! zone has clearly less load.
 //!
-//! Members that may get no request now (cold, in a drained zone) count in the mean: the
-//! load that others carry is bound by the mean of the whole pool.
+//! Ineligible members (cold, in a drained zone) count in the mean: the load bound of the other
+//! members refers to the mean of the whole pool.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::direct::back_ends::back_end::BackEnd;
 use crate::direct::back_ends::standing::Standing;
 
-/// What is known of one candidate at the time of the choice.
+/// A back end to choose from, as known at the time of the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DirectCandidate {
-    /// Place of the back end in the caller's list.
+    /// Index of the back end in the list of the calling code.
     pub index: usize,
     /// Hash of the back end's id.
     pub id_hash: u64,
-    /// Requests in flight there, from all routers as far as known.
+    /// Estimated requests in flight at the back end, from all routers.
     pub load: f64,
-    /// Load from which it is full for this request.
+    /// Load at which the back end is full for this request.
     pub limit: f64,
-    /// Whether it stands in the router's zone.
+    /// Whether the back end is in the router's zone.
     pub same_zone: bool,
-    /// What the router holds of it.
+    /// Outlier-detection state of the back end.
     pub standing: Standing,
-    /// Whether it may get requests; else it only counts in the mean.
+    /// Whether the back end may get requests. If not, it only counts in the mean.
     pub eligible: bool,
 }
 
 /// Bounds of the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelectBounds {
-    /// A candidate is passed by above this multiple of the mean load ...
+    /// Multiple of the mean load that, plus `spill_slack`, is the spill bound: at or above that
+    /// load a candidate is skipped.
     pub spill_factor: f64,
-    /// ... plus this many requests.
+    /// Requests that the spill bound allows in addition to the multiple of the mean load.
     pub spill_slack: f64,
-    /// Requests by which another zone has to be freer.
+    /// Requests by which a candidate of another zone has to be less loaded.
     pub zone_slack: f64,
-    /// Full candidates that a request with a part passes by before it is refused.
+    /// Number of full candidates after which a request with a part tries no further candidate.
     pub max_full_candidates: usize,
-    /// Places over which the request's part is spread ...
+    /// Number of replicas over which the part of the request is spread.
     pub replicas: usize,
-    /// ... and the one among them at which this request begins.
+    /// Index of the replica that is tried first.
     pub first_replica: usize,
 }
 
-/// Share of the load cap at which a candidate is passed by: what is known of
-/// loads is up to half a second old.
+/// Spill factor as a share of the load cap. The margin covers load reports that are up to half a
+/// second old.
 const SPILL_SHARE_OF_CAP: f64 = 0.75;
 
-/// Back ends that keep a part, as a rule, while pools are full: a request goes no
-/// further for room, since reading the part once more costs a full pool more than the
-/// refusal of a request.
-const PLACES_OF_A_PART: usize = 4;
+/// Maximum number of full candidates that a request tries in a full pool: the number of back ends
+/// that usually have a part cached then. Reading the part at one more back end costs a full pool
+/// more than refusing the request.
+const FULL_POOL_MAX_FULL_CANDIDATES: usize = 4;
 
-/// Share of the members that may get no request from which those that remain are at their
-/// bound together. A release holds back fewer: for these a part is read again at one more
-/// member for nothing (worth of five days at 42 back ends 0.674 with any, 0.682 with 0.15).
-const MANY_CLOSED: f64 = 0.15;
+/// Minimum share of ineligible members at which the remaining members are taken to reach their
+/// spill bound together. A rolling release makes fewer members ineligible: spilling to the least
+/// loaded candidate then has a part read at one more member without need (over five days with 42
+/// back ends, the worth of the answers was 0.674 without a minimum and 0.682 with 0.15).
+const MIN_INELIGIBLE_SHARE: f64 = 0.15;
 
-/// Places in the order among which a request that its home has no room for goes to the
-/// least loaded, while many members may get none: most homes are at their bound then, and
-/// all routers pass them by at once. Of 8 days with one or two of four zones drained 1
-/// broke the load bound with it, 2 where the first within the bound took the request, 3
-/// with a bound of 1.2 times the mean.
-const SPILL_PLACES: usize = 5;
+/// Number of consecutive candidates in the order among which a request that spills from its home
+/// goes to the least loaded, while many members are ineligible. Most homes are at their spill bound
+/// then, and all routers spill from them at once. Of 8 days with one or two of four zones drained,
+/// 1 broke the load bound with this rule, 2 when the first candidate below the spill bound took the
+/// request, and 3 with a spill bound of 1.2 times the mean.
+const SPILL_CANDIDATES: usize = 5;
 
-/// Least multiple of the mean at which a candidate is passed by.
-const LEAST_SPILL_FACTOR: f64 = 1.1;
+/// Minimum multiple of the mean load at which a candidate is skipped.
+const MIN_SPILL_FACTOR: f64 = 1.1;
 
 impl SelectBounds {
-    /// Bounds that keep loads below `load_cap` times the mean.
+    /// Bounds that keep the load of each member below `load_cap` times the mean.
     pub fn for_load_cap(load_cap: f64) -> Self {
         SelectBounds {
-            spill_factor: (load_cap * SPILL_SHARE_OF_CAP).max(LEAST_SPILL_FACTOR),
+            spill_factor: (load_cap * SPILL_SHARE_OF_CAP).max(MIN_SPILL_FACTOR),
             spill_slack: 2.0,
             zone_slack: 1.5,
             max_full_candidates: usize::MAX,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// The same for a part that is spread over places, and a request that begins at one of them.
+    /// The same bounds for a part that is spread over `replicas`, starting at `first_replica`.
     pub fn spread_over(self, replicas: usize, first_replica: usize) -> Self {
         SelectBounds {
             replicas,
@@ -98,75 +101,76 @@
         }
     }
 
-    /// Requests above the mean load at which a candidate is passed by.
+    /// Requests above the mean load at which a candidate reaches the spill bound.
     pub fn spill_headroom(&self, mean: f64) -> f64 {
         (self.spill_factor - 1.0) * mean + self.spill_slack
     }
 
-    /// The same for a pool that is full as a whole.
+    /// The same bounds for a pool that is full as a whole.
     pub fn for_full_pool(self) -> Self {
         SelectBounds {
-            max_full_candidates: PLACES_OF_A_PART,
+            max_full_candidates: FULL_POOL_MAX_FULL_CANDIDATES,
             ..self
         }
     }
 }
 
 impl DirectCandidate {
-    /// Whether it is not full for this request.
+    /// Whether the candidate is not full for this request.
     fn has_room(&self) -> bool {
         self.load < self.limit
     }
 }
 
 impl Selection {
-    /// Whether the chosen back end has room. Without it the request is to be refused:
-    /// no back end that it may go to has any.
+    /// Whether the chosen back end has free capacity. If not, the request has to be refused:
+    /// usually no back end that it may go to has free capacity then.
     pub fn has_room(&self) -> bool {
         self.load < self.limit
     }
 }
 
-/// The choice and what decided it.
+/// The chosen back end and the values that decided the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Selection {
-    /// The chosen back end's place in the caller's list.
+    /// Index of the chosen back end in the list of the calling code.
     pub index: usize,
-    /// Its load before this request.
+    /// Load of the chosen back end before this request.
     pub load: f64,
-    /// Load from which it is full for this request.
+    /// Load at which the chosen back end is full for this request.
     pub limit: f64,
-    /// Mean load of the candidates.
+    /// Mean load of all candidates, with the ineligible ones.
     pub mean: f64,
-    /// Places passed by from where the request began; 0 is the home, or its place among those over
-    /// which its part is spread.
+    /// Position of the chosen back end in the order, counted from the back end that was tried
+    /// first: the home, or one of the replicas of a part that is spread.
     pub rank: usize,
-    /// The place at which it began, for requests with a shared part.
+    /// Index of the back end that was tried first, in the list of the calling code; `None` for
+    /// requests without a part.
     pub start_index: Option<usize>,
 }
 
-/// Chooses for a request with a shared part.
+/// Chooses a back end for a request with a shared part.
 pub fn select_by_affinity(
     candidates: &[DirectCandidate],
     part: u64,
     bounds: &SelectBounds,
 ) -> Option<Selection> {
     let mean = mean_load(candidates.iter())?;
-    let open_mean = mean_load(open(candidates))?;
-    let mut order: Vec<(u64, &DirectCandidate)> = open(candidates)
+    let eligible_mean = mean_load(eligible(candidates))?;
+    let mut order: Vec<(u64, &DirectCandidate)> = eligible(candidates)
         .map(|candidate| (score(part, candidate.id_hash), candidate))
         .collect();
     order.sort_unstable_by_key(|(score, _)| std::cmp::Reverse(*score));
-    let places = bounds.replicas.min(order.len());
-    order[..places].rotate_left(bounds.first_replica.min(places));
-    let home = order.first().map(|(_, candidate)| candidate.index);
-    let bound = (bounds.spill_factor * mean).max(LEAST_SPILL_FACTOR * open_mean);
+    let replicas = bounds.replicas.min(order.len());
+    order[..replicas].rotate_left(bounds.first_replica.min(replicas));
+    let start_index = order.first().map(|(_, candidate)| candidate.index);
+    let bound = (bounds.spill_factor * mean).max(MIN_SPILL_FACTOR * eligible_mean);
     let bound = bound + bounds.spill_slack;
-    let best = best_standing(open(candidates));
-    let closed = candidates.len() - order.len();
-    let many_closed = closed as f64 >= MANY_CLOSED * candidates.len() as f64;
-    let rank = match place_in_order(&order, best, bound, bounds.max_full_candidates) {
-        Some(rank) if rank > 0 && many_closed => least_loaded_near(&order, rank, best),
+    let best = best_standing(eligible(candidates));
+    let ineligible = candidates.len() - order.len();
+    let many_ineligible = ineligible as f64 >= MIN_INELIGIBLE_SHARE * candidates.len() as f64;
+    let rank = match first_rank_below(&order, best, bound, bounds.max_full_candidates) {
+        Some(rank) if rank > 0 && many_ineligible => least_loaded_near(&order, rank, best),
         Some(rank) => rank,
         None => least_loaded_rank(&order, best)?,
     };
@@ -177,13 +181,14 @@
         limit: chosen.limit,
         mean,
         rank,
-        start_index: home,
+        start_index,
     })
 }
 
-/// Place of the first candidate within bound and limit. After `max_full_candidates` full ones,
-/// the place of the first of these. `None` when no candidate is within the bound.
-fn place_in_order(
+/// Rank of the first candidate with the best standing that is below the spill bound and not full.
+/// After `max_full_candidates` full candidates, the rank of the first of these. `None` if neither
+/// is found.
+fn first_rank_below(
     order: &[(u64, &DirectCandidate)],
     best: Standing,
     bound: f64,
@@ -208,26 +213,26 @@
     None
 }
 
-/// Chooses for a request that may go anywhere; `draw` breaks ties.
+/// Chooses a back end for a request without a shared part. The random `draw` breaks ties.
 pub fn select_by_load(
     candidates: &[DirectCandidate],
     draw: u64,
     bounds: &SelectBounds,
 ) -> Option<Selection> {
     let mean = mean_load(candidates.iter())?;
-    let best = best_standing(open(candidates));
+    let best = best_standing(eligible(candidates));
     let cost = |candidate: &DirectCandidate| {
-        let away = if candidate.same_zone {
+        let zone_cost = if candidate.same_zone {
             0.0
         } else {
             bounds.zone_slack
         };
-        candidate.load + away
+        candidate.load + zone_cost
     };
     let with_room =
         |candidate: &&DirectCandidate| candidate.standing == best && candidate.has_room();
-    let some_has_room = open(candidates).any(|candidate| with_room(&candidate));
-    let chosen = open(candidates)
+    let some_has_room = eligible(candidates).any(|candidate| with_room(&candidate));
+    let chosen = eligible(candidates)
         .filter(|candidate| candidate.standing == best)
         .filter(|candidate| !some_has_room || with_room(candidate))
         .min_by(|a, b| {
@@ -245,10 +250,11 @@
     })
 }
 
-/// The back end that most likely keeps a part, other than the chosen one: the
-/// first in the part's order over all members, with those that are leaving.
-/// When the chosen one is the home, that is the next in the order: the home
-/// before this one joined.
+/// The back end other than `chosen` that most likely has a part cached: the first in the
+/// rendezvous order of the part over all members, including those that are leaving.
+///
+/// If `chosen` is the home of the part, the likely holder is the next in the order, which was the
+/// home before `chosen` joined.
 pub fn likely_holder<'a>(
     members: impl Iterator<Item = &'a BackEnd>,
     part: u64,
@@ -259,19 +265,20 @@
         .max_by_key(|member| score(part, member.id_hash))
 }
 
-/// Whether a back end is a part's home: the first in its order over all members. Whoever looks for the
-/// part looks there without being told.
+/// Whether a back end is the home of a part: the first in the rendezvous order over all members.
+/// Routers look for a part at its home without gossip that names it.
 pub fn is_home<'a>(members: impl Iterator<Item = &'a BackEnd>, part: u64, back_end: &str) -> bool {
     let home = members.max_by_key(|member| score(part, member.id_hash));
     home.is_some_and(|home| home.entry.id == back_end)
 }
 
+/// Rendezvous score of a back end for a part; the order of a part is by descending score.
 fn score(part: u64, id_hash: u64) -> u64 {
     xxh3_64_with_seed(&id_hash.to_le_bytes(), part)
 }
 
 /// Candidates that may get the request.
-fn open(candidates: &[DirectCandidate]) -> impl Iterator<Item = &DirectCandidate> {
+fn eligible(candidates: &[DirectCandidate]) -> impl Iterator<Item = &DirectCandidate> {
     candidates.iter().filter(|candidate| candidate.eligible)
 }
 
@@ -291,9 +298,10 @@
         .unwrap_or(Standing::Good)
 }
 
-/// Place of the least loaded candidate with room among [`SPILL_PLACES`] from a rank on.
+/// Rank of the least loaded candidate that has the best standing and is not full, among the
+/// [`SPILL_CANDIDATES`] candidates from `rank` on; `rank` if there is none.
 fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Standing) -> usize {
-    let near = order.iter().enumerate().skip(rank).take(SPILL_PLACES);
+    let near = order.iter().enumerate().skip(rank).take(SPILL_CANDIDATES);
     near.filter(|(_, (_, candidate))| candidate.standing == best && candidate.has_room())
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map_or(rank, |(rank, _)| rank)
--- a/crates/stacktack-core/src/direct/mod.rs
+++ b/crates/stacktack-core/src/direct/mod.rs
@@ -1,18 +1,18 @@
-//! Decisions of a router that speaks to back ends directly.
+//! Decisions of a router that sends requests directly to back ends.
 //!
-//! Back ends that have no agent beside them are reached straight from the
-//! router, which then holds their gates itself: admission, outlier detection,
-//! the retry budget and the certainty of "not run" are decided here.
+//! Back ends without an agent have no [`gate`](crate::gate) in front of them, so the router
+//! itself decides on admission, outlier detection, the retry budget and whether a failed
+//! request has certainly not run.
 //!
 //! - [`traffic`]: the configuration of routes, keys and limits.
-//! - [`back_ends`]: who the back ends are, and what the router believes of them.
-//! - [`sources`]: when what the platform tells is to be asked for and believed.
-//! - [`peers`]: news between routers.
+//! - [`back_ends`]: the known back ends with their estimated load and health.
+//! - [`sources`]: when to poll the platform and how far to trust its answers.
+//! - [`peers`]: gossip between routers.
 //! - [`choice`]: which back end a request goes to.
-//! - [`admission`]: whether a pool takes one more request.
-//! - [`quarantine`]: requests that end the back ends which run them.
-//! - [`rollout`]: a service's traffic moves to another version.
-//! - [`request`]: what attempts proved, repeated sends, whole events of a stream.
+//! - [`admission`]: whether a pool admits one more request.
+//! - [`quarantine`]: requests that crash the back ends which run them.
+//! - [`rollout`]: moves the traffic of a service to another version.
+//! - [`request`]: attempts, retries, event streams and graceful shutdown.
 
 pub mod admission;
 pub mod back_ends;
--- a/crates/stacktack-core/src/direct/request/attempt.rs
+++ b/crates/stacktack-core/src/direct/request/attempt.rs
@@ -1,34 +1,35 @@
-//! What one attempt proved and what follows from it.
+//! How an attempt failed, and whether the request may be sent again.
 //!
-//! Only a refusal that says so, an address held by another instance, and a
-//! connection that never came up prove that a request did not run. Everything
-//! else after the first byte was written may have run.
+//! A request certainly did not run if the back end said so when it rejected the request, if
+//! the address belongs to another instance, or if nothing was written to the back end. After any
+//! other failure the request may have run.
 
 use crate::direct::traffic::route::RouteKind;
 
-/// How an attempt ended without an answer that the caller can have.
+/// Reason why an attempt gave no response for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptFailure {
-    /// No connection came up, or nothing was written: certainly not run.
+    /// No connection was established, or nothing was written. The request certainly did not run.
     Unreached,
-    /// The back end left after it was chosen and before anything was written: certainly not run.
+    /// The back end became ineligible after it was chosen and before anything was written, for
+    /// example because it left or its zone is being drained. The request certainly did not run.
     BackEndLeft,
-    /// The address belongs to another instance now: certainly not run.
+    /// The address now belongs to another instance. The request certainly did not run.
     OtherInstance,
-    /// The back end refused and said that it did not run the request.
+    /// The back end rejected the request and said that it did not run.
     Rejected,
-    /// The back end answered with an error of its own.
+    /// The back end returned an error response.
     Failed,
     /// The connection broke after something was written.
     Broken,
-    /// The answer belonged to another request.
+    /// The response belonged to another request.
     MismatchedResponse,
-    /// No answer within the time that an attempt is given.
+    /// No response, or no further part of it, came within the time allowed for it.
     TimedOut,
 }
 
 impl AttemptFailure {
-    /// Whether the attempt certainly did not run.
+    /// Whether the request certainly did not run in this attempt.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -39,7 +40,7 @@
         )
     }
 
-    /// Whether the request arrived at a back end of its pool.
+    /// Whether the request may have reached a back end of its pool.
     pub fn counts_as_send(self) -> bool {
         !matches!(
             self,
@@ -47,7 +48,7 @@
         )
     }
 
-    /// Fixed word for logs and metrics.
+    /// Fixed text for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptFailure::Unreached => "unreached",
@@ -65,21 +66,21 @@
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Sends that arrived at a back end.
+    /// Number of attempts that reached a back end of the pool.
     pub sends: u32,
-    /// Tries that reached nobody of the pool.
+    /// Number of attempts that reached no back end of the pool.
     pub unreached: u32,
-    /// Tries among them that arrived at another instance than the one that was meant.
+    /// Number of `unreached` attempts that arrived at another instance than the chosen one.
     pub misdirected: u32,
-    /// Whether some attempt may have run.
+    /// Whether the request may have run in some attempt.
     pub may_have_run: bool,
 }
 
-/// Tries that reach nobody before a request is given up.
-const MAXIMUM_UNREACHED: u32 = 4;
+/// Maximum number of attempts that reach no back end of the pool before the request is given up.
+const MAX_UNREACHED: u32 = 4;
 
 impl AttemptHistory {
-    /// Counts an attempt that failed.
+    /// Adds a failed attempt.
     pub fn record(&mut self, failure: AttemptFailure) {
         if failure.counts_as_send() {
             self.sends += 1;
@@ -94,16 +95,16 @@
         }
     }
 
-    /// Whether the request arrived anywhere: then one more send comes out of the retry
-    /// budget.
+    /// Whether the request arrived at any instance. Another send is a retry then and is paid for
+    /// from the retry budget.
     pub fn has_arrived(&self) -> bool {
         self.sends > 0 || self.misdirected > 0
     }
 
-    /// Whether the request may be sent to one more back end. The retry budget
-    /// is asked beside this, for sends after the first.
+    /// Whether the request may be sent to one more back end. A request that has already arrived
+    /// somewhere also needs a permit from the retry budget.
     pub fn may_send_again(&self, kind: RouteKind, max_attempts: u32) -> bool {
-        let repeat_allowed = kind.is_idempotent() || !self.may_have_run;
-        repeat_allowed && self.sends < max_attempts.max(1) && self.unreached < MAXIMUM_UNREACHED
+        let retry_allowed = kind.is_idempotent() || !self.may_have_run;
+        retry_allowed && self.sends < max_attempts.max(1) && self.unreached < MAX_UNREACHED
     }
 }
--- a/crates/stacktack-core/src/direct/request/budget.rs
+++ b/crates/stacktack-core/src/direct/request/budget.rs
@@ -1,83 +1,86 @@
-//! The retry budget that all routers share.
+//! The retry budget, which bounds the retries of all routers together without coordination.
 //!
 //! Within any window a pool may receive at most `ratio` times its requests, plus a fixed
-//! `extra`, as repeated sends; the requests are those of the window or of the one before it,
-//! whichever are more. Routers keep that without knowing of each other: each request
-//! earns its router half of the ratio, and what it earned can be spent for one window.
-//! Repeats in a window were earned in it or in the one before it, so that they are at most
-//! half of the ratio times the requests of both, which is never above the bound: whatever the
-//! number of routers, however old they are, whoever is cut off or killed.
+//! `extra`, as retries. The requests are those of the window or of the window before it,
+//! whichever are more. Each request earns its router half of the ratio, and a permit expires one
+//! window after it was earned. The retries of a window were therefore earned in that window or in
+//! the one before it: they are at most half of the ratio times the requests of both windows, which
+//! never exceeds the bound. This holds for any number of routers, whatever their age, and also when
+//! routers are partitioned or killed.
 //!
-//! Nobody spends the extra by design. Divided by the number of routers it was spent up to 4.4
-//! times where routers did not know each other yet or any more (330 routers on virtual time,
-//! `tests/retry_budget.rs`), and a process that is killed forgets what it spent. It is left
-//! for what no router can know: repeats that arrive later than they were sent.
+//! Routers never spend `extra` on purpose. Dividing it by the number of routers overspent it up to
+//! 4.4 times with 330 routers that did not know each other yet or any more, and a process that is
+//! killed forgets what it spent. `extra` is reserved for retries that arrive later than they were
+//! sent, which no router can observe.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// The bound that holds over the fleet.
+/// Bound on the retries that a pool receives from all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetBound {
-    /// Repeated sends allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeated sends allowed beside, over all routers.
+    /// Retries allowed per window in addition, from all routers together.
     pub extra: f64,
-    /// The window.
+    /// Length of the window, and time for which an earned permit can be spent.
     pub window: Duration,
 }
 
-/// Share of the ratio that a request earns: the earnings of two windows stay within the bound
-/// of one. Three quarters of the ratio, to be spent within a third of the window, keep it
-/// too for even traffic, but allow half as many at once: with 2 requests a second at a
-/// router and 4 in 100 failing 0.83 of the failures were repeated, 0.89 so.
+/// Share of the ratio that a request earns. With 0.5, the earnings of two windows stay within the
+/// bound of one window. Earning three quarters of the ratio, to be spent within a third of the
+/// window, also keeps the bound for even traffic, but allows only half as many retries at once:
+/// with 2 requests per second at a router, of which 4 in 100 fail, 0.83 of the failures were
+/// retried instead of 0.89.
 const EARNED_SHARE: f64 = 0.5;
 
-/// The budget of one pool at one router.
+/// The retry budget of one pool at one router.
 #[derive(Clone, Debug)]
 pub struct PoolRetryBudget {
     bound: BudgetBound,
-    /// Part of a repeat that is earned already, below one.
-    part: f64,
-    /// When each repeat that can be spent was earned, the oldest first.
+    /// Fraction of the next permit that is already earned, below 1.
+    fraction: f64,
+    /// When each unspent permit was earned, the oldest first.
     earned: VecDeque<Time>,
 }
 
 impl PoolRetryBudget {
-    /// A budget that begins with `part` of a repeat, drawn evenly from 0 to 1. Many routers
-    /// with few requests each then earn as much together as one router with all of them.
-    pub fn new(bound: BudgetBound, part: f64) -> Self {
+    /// A budget that starts with a fraction of a permit, drawn uniformly from 0 to 1 by the calling
+    /// code. Many routers with few requests each then earn as much together as one router with
+    /// all the requests.
+    pub fn new(bound: BudgetBound, fraction: f64) -> Self {
         PoolRetryBudget {
             bound,
-            part,
+            fraction,
             earned: VecDeque::new(),
         }
     }
 
-    /// Takes another bound; what was earned stays.
+    /// Replaces the bound; permits already earned remain.
     pub fn set_bound(&mut self, bound: BudgetBound) {
         self.bound = bound;
     }
 
-    /// Counts a request, which earns a part of a repeat.
+    /// Counts a request, which earns a fraction of a permit.
     pub fn count_request(&mut self, now: Time) {
         self.expire(now);
-        self.part += self.bound.ratio * EARNED_SHARE;
-        while self.part >= 1.0 {
-            self.part -= 1.0;
+        self.fraction += self.bound.ratio * EARNED_SHARE;
+        while self.fraction >= 1.0 {
+            self.fraction -= 1.0;
             self.earned.push_back(now);
         }
     }
 
-    /// Takes one repeated send; false when nothing is left that was earned within the window.
+    /// Takes the permit for one retry; false if no unexpired permit is available.
     pub fn take(&mut self, now: Time) -> bool {
         self.expire(now);
         self.earned.pop_front().is_some()
     }
 
-    /// Repeated sends that can be spent now.
+    /// Number of available permits. Expired ones count until the next call of
+    /// [`count_request`](Self::count_request) or [`take`](Self::take).
     pub fn available(&self) -> usize {
         self.earned.len()
     }
--- a/crates/stacktack-core/src/direct/request/events.rs
+++ b/crates/stacktack-core/src/direct/request/events.rs
@@ -1,59 +1,58 @@
-//! Whole events of a stream (`text/event-stream`).
+//! Splits a `text/event-stream` at event boundaries.
 //!
-//! A back end may stop partway through an event. So that another can continue
-//! the stream, only whole events are passed on; the id of the last one says
-//! where to continue.
+//! A stream may break off in the middle of an event. Only whole events are passed on, so that
+//! another back end can continue the stream after the id of the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest id that is kept, in bytes.
-const MAXIMUM_ID: usize = 64;
+/// Maximum length of an event id that is kept, in bytes.
+const MAX_ID_BYTES: usize = 64;
 
-/// Largest unfinished event that is held, in bytes.
-const MAXIMUM_EVENT: usize = 64 * 1024;
+/// Maximum size of a partial event that is buffered, in bytes.
+const MAX_PARTIAL_EVENT_BYTES: usize = 64 * 1024;
 
-/// Cuts a stream into whole events.
+/// Passes the whole events of a stream on and buffers the partial event at its end.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
+    partial: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
-    /// Takes bytes of the stream; returns the whole events that are complete
-    /// now, byte for byte. An event over the size that is held passes unsplit.
+    /// Adds bytes of the stream and returns the events that are whole now, byte for byte. When a
+    /// partial event exceeds `MAX_PARTIAL_EVENT_BYTES`, all buffered bytes are returned.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.held.extend_from_slice(bytes);
-        let end = last_event_end(&self.held);
-        let end = if end == 0 && self.held.len() > MAXIMUM_EVENT {
-            self.held.len()
+        self.partial.extend_from_slice(bytes);
+        let end = last_event_end(&self.partial);
+        let end = if end == 0 && self.partial.len() > MAX_PARTIAL_EVENT_BYTES {
+            self.partial.len()
         } else {
             end
         };
-        let whole = self.held.split_to(end).freeze();
+        let whole = self.partial.split_to(end).freeze();
         if let Some(id) = last_id(&whole) {
             self.last_id = Some(id);
         }
         whole
     }
 
-    /// Drops the unfinished event: its stream broke off.
+    /// Drops the partial event of a stream that broke off.
     pub fn discard(&mut self) {
-        self.held.clear();
+        self.partial.clear();
     }
 
-    /// Whether an unfinished event is held.
+    /// Whether a partial event is buffered.
     pub fn has_partial_event(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Id of the last whole event.
+    /// Id of the last whole event, after which another back end continues the stream.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 }
 
-/// End of the last whole event: just behind the last blank line.
+/// Index just after the last blank line, where the last whole event ends; 0 if there is none.
 fn last_event_end(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while end >= 2 {
@@ -76,5 +75,5 @@
         .find_map(|line| line.strip_prefix(b"id:"))
         .and_then(|id| std::str::from_utf8(id).ok())
         .map(|id| id.trim().to_owned())
-        .filter(|id| !id.is_empty() && id.len() <= MAXIMUM_ID)
+        .filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES)
 }
--- a/crates/stacktack-core/src/direct/request/mod.rs
+++ b/crates/stacktack-core/src/direct/request/mod.rs
@@ -1,10 +1,10 @@
-//! One request on its way.
+//! Handling of one request: attempts, retries, resumption of streams, and graceful shutdown.
 //!
-//! - [`attempt`]: what one attempt proved and what follows from it.
-//! - [`budget`]: the retry budget that all routers share.
-//! - [`events`]: whole events of a stream, for resumption.
-//! - [`planned_stop`]: what a router takes after a stop signal.
-//! - [`run_times`]: how long requests took of late.
+//! - [`attempt`]: how an attempt failed, and whether the request may be sent again.
+//! - [`budget`]: the retry budget, which bounds the retries of all routers together.
+//! - [`events`]: splits an event stream into whole events, for resumption.
+//! - [`planned_stop`]: which requests a router still admits after a stop signal.
+//! - [`run_times`]: how long recent requests of a route took.
 
 pub mod attempt;
 pub mod budget;
--- a/crates/stacktack-core/src/direct/request/planned_stop.rs
+++ b/crates/stacktack-core/src/direct/request/planned_stop.rs
@@ -1,63 +1,65 @@
-//! Which requests a router takes between a stop signal and the end of its process.
+//! Which requests a router admits between a stop signal and the end of its process.
 //!
-//! What is taken has to be answered whole before the process ends, so the time that is left decides and
-//! not the time since the signal. A request fits in one of two ways:
+//! The response to an admitted request has to be complete before the process ends, so the remaining
+//! time decides and not the time since the signal. A request fits in one of two ways:
 //!
-//! - **By its own limit.** Its caller or its route gives it up before the process ends. That holds
+//! - **By its deadline.** Its caller or its route gives it up before the process ends. This holds
 //!   however slow back ends become.
-//! - **By experience.** The longest run of its route of late fits into the time that is left. Back ends may
-//!   become slower than that, so it counts only while callers are still being sent here.
+//! - **By recent runs.** The longest recent run of its route fits into the remaining time. Back
+//!   ends may become slower than that, so this counts only while callers still send requests to
+//!   this router.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time after a stop signal in which callers are still sent here: whoever sends them has to notice first.
+/// Time after a stop signal for which callers still send requests to this router, because their
+/// senders have to notice the stop first.
 pub const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2600);
 
-/// Time that the last bytes of answers are given to leave.
-const FLUSH: Duration = Duration::from_millis(200);
+/// Time reserved at the end for sending the last bytes of responses.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Time before the end of the grace at which the process ends by itself.
+/// Time between the exit of the process and the end of the grace period, when it would be killed.
 const GRACE_MARGIN: Duration = Duration::from_millis(100);
 
-/// Time from the end of a process until its successor takes requests.
-const RESTART: Duration = Duration::from_millis(700);
+/// Time from the end of a process until its successor accepts requests.
+const RESTART_TIME: Duration = Duration::from_millis(700);
 
-/// A stop signal, and the end that follows from it.
+/// Schedule of a graceful shutdown, from the stop signal to the end of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
-    begun: Time,
+    signaled: Time,
     end: Time,
 }
 
-/// What decides whether a request is taken after the signal.
+/// Times of a request that decide whether it is admitted after the stop signal.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTiming {
-    /// When its caller or its route gives it up.
+    /// When the caller or the route of the request gives it up.
     pub deadline: Time,
-    /// Longest run of its route of late; `None` if nothing is known.
+    /// Longest recent run of its route; `None` if none is known.
     pub longest_run: Option<Duration>,
 }
 
-/// Whether a request is taken after the signal, and by what.
+/// Whether a request is admitted after the stop signal, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopAdmission {
-    /// Its own limit lies before the end.
+    /// Admitted: its deadline lies before the end of the process.
     FitsByDeadline,
-    /// Requests of its route were done sooner than that of late.
+    /// Admitted: the recent runs of its route fit into the remaining time.
     FitsByRecentRuns,
-    /// Its answer may not be whole before the end.
+    /// Refused: its response may not be complete before the end of the process.
     TooLong,
 }
 
 impl StopAdmission {
-    /// Whether the request is taken.
+    /// Whether the request is admitted.
     pub fn is_admitted(self) -> bool {
         self != StopAdmission::TooLong
     }
 
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             StopAdmission::FitsByDeadline => "limit",
@@ -68,44 +70,45 @@
 }
 
 impl PlannedStop {
-    /// A signal came; the process is killed after the grace.
-    pub fn new(begun: Time, grace: Duration) -> Self {
+    /// Schedule for a stop signal at `signaled`; the process is killed when `grace` is over.
+    pub fn new(signaled: Time, grace: Duration) -> Self {
         PlannedStop {
-            begun,
-            end: begun + grace.saturating_sub(GRACE_MARGIN),
+            signaled,
+            end: signaled + grace.saturating_sub(GRACE_MARGIN),
         }
     }
 
-    /// The grace was set anew. A longer one does not count: whoever stops the process may have begun to
-    /// count with the one before.
+    /// Applies a changed grace period. A longer one is ignored, because the platform may already
+    /// be counting down the previous one.
     pub fn shorten_grace(&mut self, grace: Duration) {
-        self.end = self.end.min(PlannedStop::new(self.begun, grace).end);
+        self.end = self.end.min(PlannedStop::new(self.signaled, grace).end);
     }
 
-    /// Time since the signal.
+    /// Time since the stop signal.
     pub fn age(&self, now: Time) -> Duration {
-        now.since(self.begun)
+        now.since(self.signaled)
     }
 
-    /// When the process ends by itself.
+    /// When the process exits by itself.
     pub fn end(&self) -> Time {
         self.end
     }
 
-    /// When the last answers have to begin, so that they are whole at the end.
+    /// Time by which the last responses have to be sent, so that they are complete at the end.
     pub fn response_deadline(&self) -> Time {
-        self.end - FLUSH
+        self.end - FLUSH_TIME
     }
 
-    /// Until when callers are still sent here, or until the end, if that is sooner.
+    /// Time from which callers send their requests elsewhere; the end of the process if that is
+    /// sooner.
     pub fn deregistered_at(&self) -> Time {
-        (self.begun + DEREGISTRATION_DELAY).min(self.end)
+        (self.signaled + DEREGISTRATION_DELAY).min(self.end)
     }
 
-    /// Whether a request is taken now.
+    /// Decides whether a request that arrives now is admitted.
     pub fn decide(&self, request: &RequestTiming, now: Time) -> StopAdmission {
-        let due = self.response_deadline();
-        if request.deadline <= due {
+        let response_deadline = self.response_deadline();
+        if request.deadline <= response_deadline {
             return StopAdmission::FitsByDeadline;
         }
         if now < self.deregistered_at() && self.likely_fits(request, now) {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Whether a request that was taken is worth another attempt: its answer has time to become whole.
+    /// Whether the response to another attempt of an admitted request has time to be completed.
     pub fn may_retry(&self, request: &RequestTiming, now: Time) -> bool {
         request.deadline <= self.response_deadline() || self.likely_fits(request, now)
     }
@@ -124,10 +127,10 @@
         now + request.longest_run.unwrap_or_default() < self.response_deadline()
     }
 
-    /// When the process that follows this one is likely to take requests, where the last answers take as
-    /// long as the longest of late.
+    /// When the successor of this process is expected to accept requests, if the last responses
+    /// take as long as the longest recent run.
     pub fn successor_ready_at(&self, longest_run: Option<Duration>) -> Time {
-        let done = self.deregistered_at() + longest_run.unwrap_or_default();
-        done.min(self.end) + RESTART
+        let finished = self.deregistered_at() + longest_run.unwrap_or_default();
+        finished.min(self.end) + RESTART_TIME
     }
 }
--- a/crates/stacktack-core/src/direct/request/run_times.rs
+++ b/crates/stacktack-core/src/direct/request/run_times.rs
@@ -1,76 +1,79 @@
-//! How long requests of one route run of late, from when they are taken to the end of their answer.
+//! How long recent requests of one route took, from their admission to the end of the response.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Time for which a run that ended counts.
-const MEMORY: Duration = Duration::from_secs(10);
+/// Time for which a finished run counts.
+const WINDOW: Duration = Duration::from_secs(10);
 
-/// Runs that ended and are remembered at most.
-const MAXIMUM_RUNS: usize = 512;
+/// Maximum number of finished runs that are remembered.
+const MAX_FINISHED_RUNS: usize = 512;
 
-/// A request under way, as [`RunTimes`] knows it.
+/// Identifies a request in flight in its [`RunTimes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId {
-    begun: Time,
+    started: Time,
     number: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct EndedRun {
-    at: Time,
-    took: Duration,
+struct FinishedRun {
+    finished: Time,
+    duration: Duration,
 }
 
 /// Run times of one route.
 #[derive(Clone, Debug, Default)]
 pub struct RunTimes {
-    ended: VecDeque<EndedRun>,
-    under_way: BTreeSet<RunId>,
+    finished: VecDeque<FinishedRun>,
+    in_flight: BTreeSet<RunId>,
     next_number: u64,
 }
 
 impl RunTimes {
-    /// A request is taken.
+    /// Adds a request that was admitted.
     pub fn begin(&mut self, now: Time) -> RunId {
         let run = RunId {
-            begun: now,
+            started: now,
             number: self.next_number,
         };
         self.next_number += 1;
-        self.under_way.insert(run);
+        self.in_flight.insert(run);
         run
     }
 
-    /// A request is over. `ran` says whether the time that it took tells how long others take: a
-    /// request that no back end ran tells nothing.
+    /// Removes a request that is over. Its duration counts only if `ran` is true: a request that no
+    /// back end ran says nothing about the duration of others.
     pub fn end(&mut self, run: RunId, ran: bool, now: Time) {
-        self.under_way.remove(&run);
+        self.in_flight.remove(&run);
         if !ran {
             return;
         }
-        if self.ended.len() == MAXIMUM_RUNS {
-            self.ended.pop_front();
+        if self.finished.len() == MAX_FINISHED_RUNS {
+            self.finished.pop_front();
         }
-        let took = now.since(run.begun);
-        self.ended.push_back(EndedRun { at: now, took });
+        let duration = now.since(run.started);
+        self.finished.push_back(FinishedRun {
+            finished: now,
+            duration,
+        });
     }
 
-    /// Longest run of late; `None` if nothing is known. Those under way count with the time that they have taken,
-    /// so that back ends that have just become slow show before their answers end.
+    /// Longest recent run; `None` if there is none. Runs in flight count with their duration so
+    /// far, so that back ends that have just become slow are noticed before their responses end.
     pub fn longest(&self, now: Time) -> Option<Duration> {
-        let recent = self.ended.iter();
-        let recent = recent.filter(|run| now.since(run.at) < MEMORY);
-        let of_ended = recent.map(|run| run.took).max();
-        let under_way = self.under_way.first().map(|run| now.since(run.begun));
-        of_ended.max(under_way)
+        let recent = self.finished.iter();
+        let recent = recent.filter(|run| now.since(run.finished) < WINDOW);
+        let of_finished = recent.map(|run| run.duration).max();
+        let in_flight = self.in_flight.first().map(|run| now.since(run.started));
+        of_finished.max(in_flight)
     }
 
-    /// Whether nothing is known: no request is under way, and none ended of late.
+    /// Whether no request is in flight and no recent run is known.
     pub fn is_idle(&self, now: Time) -> bool {
-        let last = self.ended.back();
-        self.under_way.is_empty() && last.is_none_or(|run| now.since(run.at) >= MEMORY)
+        let last = self.finished.back();
+        self.in_flight.is_empty() && last.is_none_or(|run| now.since(run.finished) >= WINDOW)
     }
 }
