--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -141,8 +141,8 @@
     pub limit: f64,
     /// Mean load of all candidates, with the ineligible ones.
     pub mean: f64,
-    /// Position of the chosen back end in the order, counted from the back end that was tried
-    /// first: the home, or one of the replicas of a part that is spread.
+    /// Position of the chosen back end in the order, where 0 is the back end that was tried first:
+    /// the home, or one of the replicas of a part that is spread.
     pub rank: usize,
     /// Index of the back end that was tried first, in the list of the calling code; `None` for
     /// requests without a part.
--- a/crates/stacktack-core/src/direct/request/run_times.rs
+++ b/crates/stacktack-core/src/direct/request/run_times.rs
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct FinishedRun {
-    finished: Time,
+    finished_at: Time,
     duration: Duration,
 }
 
@@ -56,7 +56,7 @@
         }
         let duration = now.since(run.started);
         self.finished.push_back(FinishedRun {
-            finished: now,
+            finished_at: now,
             duration,
         });
     }
@@ -65,7 +65,7 @@
     /// far, so that back ends that have just become slow are noticed before their responses end.
     pub fn longest(&self, now: Time) -> Option<Duration> {
         let recent = self.finished.iter();
-        let recent = recent.filter(|run| now.since(run.finished) < WINDOW);
+        let recent = recent.filter(|run| now.since(run.finished_at) < WINDOW);
         let of_finished = recent.map(|run| run.duration).max();
         let in_flight = self.in_flight.first().map(|run| now.since(run.started));
         of_finished.max(in_flight)
@@ -74,6 +74,6 @@
     /// Whether no request is in flight and no recent run is known.
     pub fn is_idle(&self, now: Time) -> bool {
         let last = self.finished.back();
-        self.in_flight.is_empty() && last.is_none_or(|run| now.since(run.finished) >= WINDOW)
+        self.in_flight.is_empty() && last.is_none_or(|run| now.since(run.finished_at) >= WINDOW)
     }
 }
