--- a/crates/stacktack-core/src/direct/rollout/gossip.rs
+++ b/crates/stacktack-core/src/direct/rollout/gossip.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of a roll-out.
+//! The gossip about a roll-out that routers exchange.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use super::response_counts::RouterCounts;
 use super::status::StoredState;
 
-/// What one router tells of a roll-out.
+/// What one router knows of a roll-out, as it sends it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutGossip {
     /// The order.
     pub order: RolloutOrder,
-    /// Time since it was first heard of.
+    /// Time since the order was first received, by this router or another one.
     pub age: Duration,
-    /// What the store holds of it, and at which revision.
+    /// State in the store and the revision at which it was stored, if known.
     pub stored: Option<(StoredState, u64)>,
-    /// Whether the new version does harm.
+    /// Whether a regression of the new version was detected.
     pub regressed: bool,
-    /// Whether its answers are good so far.
+    /// Whether the new version's responses are good so far.
     pub proved: bool,
-    /// Whether they are good under the whole traffic too.
+    /// Whether the new version's responses are good under the full traffic too.
     pub passed: bool,
-    /// How answers went; counts of other routers too.
+    /// Response counts of this router and of some others.
     pub counts: Vec<RouterCounts>,
 }
--- a/crates/stacktack-core/src/direct/rollout/latency.rs
+++ b/crates/stacktack-core/src/direct/rollout/latency.rs
@@ -1,57 +1,63 @@
-//! What counts as a slow answer of a route: several times what the old version takes there.
+//! Decides whether a response is slow: whether it takes several times the baseline latency of
+//! its route.
 //!
-//! What it takes is the geometric mean over the fleet: a router of a large one gets too few
-//! answers to know it by itself in time.
+//! The baseline latency is the geometric mean of the old version's times to first byte over the
+//! whole fleet: a single router of a large fleet gets too few responses to know it in time.
 
 use std::time::Duration;
 
 use super::response_counts::ResponseCounts;
 
-/// Units of the logarithm of a time to the first byte, for each doubling.
+/// Units of the logarithm of a latency per doubling of the latency.
 const UNITS_PER_DOUBLING: f64 = 8.0;
 
-/// Most units that one answer counts: up to 1,000 s.
-const MOST_UNITS: f64 = 160.0;
+/// Maximum number of units that one response counts; it stands for 1,000 s.
+const MAX_UNITS: f64 = 160.0;
 
-/// Answers from which the usual time of a route is known.
-const LEAST_ANSWERS: u32 = 20;
+/// Minimum number of successful responses from which the baseline latency of a route is known.
+const MIN_BASELINE_RESPONSES: u32 = 20;
 
-/// An answer is slow above this multiple of the usual time.
+/// Multiple of the baseline latency above which a response is slow.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// What a route wants of an answer's speed.
+/// Latency that a route expects of its responses.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyTarget {
     /// Time within which the first byte is wanted.
     pub objective: Duration,
-    /// Whether answers read a prompt first. A version that has just begun has none in its
-    /// caches, so that its answers may take several times as long up to the objective.
+    /// Whether a response starts with the prefill of a prompt. A version that has just started
+    /// has no prompts in its caches, so its responses may take several times the baseline latency
+    /// as long as they meet the objective.
     pub needs_prefill: bool,
 }
 
-/// Logarithm of a time to the first byte, in the units that [`baseline_latency`] takes.
-pub fn log_latency_units(took: Duration) -> u32 {
-    let milliseconds = (took.as_secs_f64() * 1000.0).max(1.0);
-    (milliseconds.log2() * UNITS_PER_DOUBLING).min(MOST_UNITS) as u32
+/// Logarithm of a time to first byte, in the units that [`baseline_latency`] expects.
+pub fn log_latency_units(latency: Duration) -> u32 {
+    let milliseconds = (latency.as_secs_f64() * 1000.0).max(1.0);
+    (milliseconds.log2() * UNITS_PER_DOUBLING).min(MAX_UNITS) as u32
 }
 
-/// Geometric mean of the times that answers took; `None` for too few.
+/// Geometric mean of the times to first byte of successful responses; `None` if there are too
+/// few.
 pub fn baseline_latency(counts: &ResponseCounts) -> Option<Duration> {
-    let ran = counts.responses.saturating_sub(counts.failed);
-    if ran < LEAST_ANSWERS {
+    let succeeded = counts.responses.saturating_sub(counts.failed);
+    if succeeded < MIN_BASELINE_RESPONSES {
         return None;
     }
-    let units = f64::from(counts.log_latency_sum) / f64::from(ran);
-    let milliseconds = (units.min(MOST_UNITS) / UNITS_PER_DOUBLING).exp2();
+    let units = f64::from(counts.log_latency_sum) / f64::from(succeeded);
+    let milliseconds = (units.min(MAX_UNITS) / UNITS_PER_DOUBLING).exp2();
     Some(Duration::from_secs_f64(milliseconds / 1000.0))
 }
 
-/// Whether an answer that took so long is slow, where the old version takes a usual time.
-pub fn is_slow(took: Duration, usual: Option<Duration>, wanted: LatencyTarget) -> bool {
-    let late = took > wanted.objective;
-    match usual {
-        Some(usual) if wanted.needs_prefill => late && took > usual.mul_f64(SLOW_FACTOR),
-        Some(usual) => took > usual.mul_f64(SLOW_FACTOR),
-        None => late,
+/// Whether a response with this time to first byte is slow. Without a baseline latency, a
+/// response is slow if it misses the objective.
+pub fn is_slow(latency: Duration, baseline: Option<Duration>, target: LatencyTarget) -> bool {
+    let is_late = latency > target.objective;
+    match baseline {
+        Some(baseline) if target.needs_prefill => {
+            is_late && latency > baseline.mul_f64(SLOW_FACTOR)
+        }
+        Some(baseline) => latency > baseline.mul_f64(SLOW_FACTOR),
+        None => is_late,
     }
 }
--- a/crates/stacktack-core/src/direct/rollout/mod.rs
+++ b/crates/stacktack-core/src/direct/rollout/mod.rs
@@ -1,19 +1,21 @@
-//! Roll-outs: a service's traffic moves to another version, bounded until that is proved.
+//! Canary roll-outs: the traffic of a service moves to another version, which gets a bounded share
+//! of the requests until it is proved good.
 //!
-//! An operator orders that the traffic of a service move to the back ends of a version that
-//! run beside the old ones. Each router sends them no more than a share of its own requests,
-//! counts how the answers of both versions went, and merges the counts of the others. All
-//! judge the same counts; whoever finds harm stops at once and tells the others. The outcome
-//! is written once, under a condition.
+//! An operator orders that the traffic of a service move to the back ends of a new version, which
+//! run beside the old ones. Each router sends at most a share of its own requests to the new
+//! version, counts how the responses of both versions went, and merges the counts of the other
+//! routers. All routers evaluate the same counts; a router that detects a regression stops at
+//! once and notifies the others. The outcome is written to the store once, by a conditional
+//! write.
 //!
-//! - [`order`]: what is ordered.
+//! - [`order`]: the operator's order.
 //! - [`state`]: states and events of the chart `charts/rollout.toml`.
 //! - [`exposure`]: the share of the requests that may go to an unproved version.
-//! - [`response_counts`]: how answers went, in a form that routers can merge.
-//! - [`latency`]: what counts as slow.
+//! - [`response_counts`]: counts of responses, which routers can merge.
+//! - [`latency`]: which responses count as slow.
 //! - [`regression`]: sequential tests of the new version against the old one.
-//! - [`status`]: what the store holds, and conditional writes of it.
-//! - [`gossip`]: what routers tell each other.
+//! - [`status`]: the status in the store, and conditional writes of it.
+//! - [`gossip`]: what routers tell each other of a roll-out.
 
 pub mod exposure;
 pub mod gossip;
@@ -21,7 +23,7 @@
 pub mod order;
 pub mod regression;
 pub mod response_counts;
-mod running;
+mod service_rollout;
 pub mod state;
 pub mod status;
 
@@ -35,45 +37,45 @@
 use crate::direct::rollout::order::{OrderError, RolloutOrder};
 use crate::direct::rollout::regression::Regression;
 use crate::direct::rollout::response_counts::{ResponseCounts, RouteHash};
-use crate::direct::rollout::running::RunningRollout;
+use crate::direct::rollout::service_rollout::ServiceRollout;
 use crate::direct::rollout::state::{RolloutChart, RolloutState, CHART};
 use crate::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use crate::time::Time;
 
-/// Services whose last roll-out is remembered.
-const MOST_SERVICES: usize = 64;
+/// Maximum number of services whose last roll-out is kept.
+const MAX_SERVICES: usize = 64;
 
-/// Versions of one service that are remembered to get nothing.
-const MOST_WITHHELD: usize = 8;
+/// Maximum number of blocked versions of one service that are kept.
+const MAX_BLOCKED_VERSIONS: usize = 8;
 
-/// Which version of a service a request may go to.
+/// Version of a service that a request may be routed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSelection {
-    /// No roll-out says anything.
+    /// Any version: no roll-out restricts the choice.
     Any,
-    /// Not to the new version.
+    /// Any version but the new one.
     Old,
-    /// To the new version, or to the old one where no back end of the new one can take it.
+    /// The new version, or the old one if no back end of the new one can take the request.
     New,
 }
 
-/// Why a roll-out changed.
+/// Cause of a state change of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutCause {
-    /// The store holds it.
+    /// The status in the store.
     Store,
-    /// A peer told it.
+    /// Gossip of a peer.
     Peer,
-    /// The new version does harm.
+    /// A regression of the new version.
     Regression(Regression),
-    /// The new version's answers are good.
+    /// The new version's responses are good.
     Proof,
     /// The order's time is over.
     Time,
 }
 
 impl RolloutCause {
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             RolloutCause::Store => "store",
@@ -85,65 +87,66 @@
     }
 }
 
-/// A roll-out changed at this router.
+/// State change of a roll-out at this router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutChange {
-    /// Service.
+    /// Service of the roll-out.
     pub service: String,
     /// New version.
     pub version: String,
-    /// How far it was.
+    /// State before the change.
     pub previous: RolloutState,
-    /// How far it is.
+    /// State after the change.
     pub current: RolloutState,
-    /// Why.
+    /// Cause of the change.
     pub cause: RolloutCause,
-    /// Whether others are to hear of it at once.
+    /// Whether peers must be notified at once.
     pub is_urgent: bool,
-    /// Answers of the new version that are known.
+    /// Known responses of the new version, of all routers.
     pub counts: ResponseCounts,
-    /// This router's requests to the new version.
+    /// Requests of this router to the new version.
     pub exposed: u64,
-    /// This router's requests to the service since the order.
+    /// Requests of this router to the service since the order.
     pub requests: u64,
 }
 
-/// What became of an order.
+/// Outcome of receiving an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OrderOutcome {
-    /// It is known, or older than the one that is.
+    /// The order or a newer one is already known.
     AlreadyKnown,
-    /// It is followed from now on.
+    /// The roll-out of the order starts.
     Started,
-    /// It is followed in place of one whose outcome is open: that one's version gets nothing.
+    /// The roll-out of the order starts and replaces one whose outcome is open; the version of the
+    /// replaced roll-out is blocked.
     Replaced {
-        /// The version before.
+        /// Version of the replaced roll-out.
         version: String,
     },
-    /// Roll-outs are not served here: no bound is set.
+    /// This router serves no roll-outs, since no exposure bound is set.
     NoExposureBound,
-    /// It cannot be taken.
+    /// The order is invalid.
     Invalid(OrderError),
     /// Too many services have roll-outs.
     TooManyServices,
 }
 
-/// Roll-outs of all services as one router sees them.
+/// Roll-outs of all services, as one router sees them.
 #[derive(Debug)]
 pub struct Rollouts {
     chart: RolloutChart,
     router: u32,
     bound: Option<ExposureBound>,
-    /// Place of this router among those that write, of those it knows.
+    /// Rank of this router in the order of writes; see [`status::write_rank`].
     rank: usize,
-    services: BTreeMap<String, RunningRollout>,
-    /// Versions that get nothing, by service.
-    withheld: BTreeMap<String, BTreeSet<String>>,
+    services: BTreeMap<String, ServiceRollout>,
+    /// Versions that get no requests, by service.
+    blocked_versions: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Rollouts {
-    /// None is known; `router` is the incarnation of this one. Without a bound none is
-    /// served.
+    /// Creates an empty set; `router` is the incarnation of this router. Without a bound, roll-outs
+    /// are not served.
     pub fn new(router: u32, bound: Option<ExposureBound>) -> Result<Self, ChartError> {
         Ok(Rollouts {
             chart: RolloutChart::parse(CHART)?,
@@ -151,22 +154,22 @@
             bound,
             rank: 0,
             services: BTreeMap::new(),
-            withheld: BTreeMap::new(),
+            blocked_versions: BTreeMap::new(),
         })
     }
 
-    /// Sets the bound, and the place of this router among those that write.
+    /// Sets the exposure bound and the rank of this router in the order of writes.
     pub fn configure(&mut self, bound: Option<ExposureBound>, rank: usize) {
         self.bound = bound;
         self.rank = rank;
     }
 
-    /// Whether nothing is known.
+    /// Whether no roll-out is known.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// Takes an order.
+    /// Applies an order that was read from the store or received from a peer.
     pub fn apply_order(&mut self, order: &RolloutOrder, now: Time) -> OrderOutcome {
         if self.bound.is_none() {
             return OrderOutcome::NoExposureBound;
@@ -178,33 +181,33 @@
         if known.is_some_and(|known| known.order.revision >= order.revision) {
             return OrderOutcome::AlreadyKnown;
         }
-        if known.is_none() && self.services.len() >= MOST_SERVICES {
+        if known.is_none() && self.services.len() >= MAX_SERVICES {
             return OrderOutcome::TooManyServices;
         }
         let open = known.filter(|known| !known.state.is_decided());
         let replaced = open.map(|known| known.order.version.clone());
         let replaced = replaced.filter(|version| *version != order.version);
         if let Some(version) = &replaced {
-            self.withhold(&order.service, version);
+            self.block_version(&order.service, version);
         }
-        if let Some(withheld) = self.withheld.get_mut(&order.service) {
-            withheld.remove(&order.version);
+        if let Some(blocked) = self.blocked_versions.get_mut(&order.service) {
+            blocked.remove(&order.version);
         }
-        let rollout = RunningRollout::new(order.clone(), self.router, self.rank, &self.chart, now);
+        let rollout = ServiceRollout::new(order.clone(), self.router, self.rank, &self.chart, now);
         self.services.insert(order.service.clone(), rollout);
         replaced.map_or(OrderOutcome::Started, |version| OrderOutcome::Replaced {
             version,
         })
     }
 
-    fn withhold(&mut self, service: &str, version: &str) {
-        let withheld = self.withheld.entry(service.to_owned()).or_default();
-        if withheld.len() < MOST_WITHHELD {
-            withheld.insert(version.to_owned());
+    fn block_version(&mut self, service: &str, version: &str) {
+        let blocked = self.blocked_versions.entry(service.to_owned()).or_default();
+        if blocked.len() < MAX_BLOCKED_VERSIONS {
+            blocked.insert(version.to_owned());
         }
     }
 
-    /// Which version of a service a request may go to.
+    /// Selects the version of a service that a request may be routed to.
     pub fn select_version(&self, service: &str, is_first_try: bool, now: Time) -> VersionSelection {
         match (self.services.get(service), &self.bound) {
             (Some(rollout), Some(bound)) => rollout.select_version(bound, is_first_try, now),
@@ -212,16 +215,16 @@
         }
     }
 
-    /// Whether a back end is of the version that a service's last order named.
+    /// Whether `version` is the new version of the service's last order.
     pub fn is_new_version(&self, service: &str, version: &str) -> bool {
         let rollout = self.services.get(service);
         rollout.is_some_and(|rollout| rollout.order.version == version)
     }
 
-    /// Whether back ends of a version may get requests at all.
+    /// Whether back ends of a version may receive requests at all.
     pub fn may_receive_requests(&self, service: &str, version: &str) -> bool {
-        let withheld = self.withheld.get(service);
-        if withheld.is_some_and(|withheld| withheld.contains(version)) {
+        let blocked = self.blocked_versions.get(service);
+        if blocked.is_some_and(|blocked| blocked.contains(version)) {
             return false;
         }
         let rollout = self.services.get(service);
@@ -230,69 +233,70 @@
         })
     }
 
-    /// A request goes to a back end of the new version, or reached one of another.
+    /// Counts a request that goes to a back end of the new version, or that reached one of another
+    /// version.
     pub fn on_send(&mut self, service: &str, version: &str) {
         if let Some(rollout) = self.services.get_mut(service) {
             match rollout.order.version == version {
-                true => rollout.exposure.on_new(),
-                false => rollout.exposure.on_old(),
+                true => rollout.exposure.on_new_version(),
+                false => rollout.exposure.on_other_version(),
             }
         }
     }
 
-    /// An answer of a back end: a good one took so long, `None` for a failed one.
+    /// Counts a response of a back end; `latency` is its time to first byte, or `None` if it failed.
     pub fn on_response(
         &mut self,
         service: &str,
         version: &str,
         route: &str,
-        took: Option<Duration>,
-        wanted: LatencyTarget,
+        latency: Option<Duration>,
+        target: LatencyTarget,
     ) {
         if let Some(rollout) = self.services.get_mut(service) {
             let is_new = rollout.order.version == version;
-            rollout.on_response(RouteHash::of(route), is_new, took, wanted);
+            rollout.on_response(RouteHash::of(route), is_new, latency, target);
         }
     }
 
-    /// Judges what is known now.
+    /// Evaluates all roll-outs; returns the state changes that follow.
     pub fn tick(&mut self, now: Time) -> Vec<RolloutChange> {
         let mut changes = Vec::new();
         for rollout in self.services.values_mut() {
-            changes.extend(rollout.judge(self.rank, &self.chart, now));
+            changes.extend(rollout.evaluate(self.rank, &self.chart, now));
         }
-        self.after(changes)
+        self.block_rolled_back(changes)
     }
 
-    /// Takes what a peer tells. Returns what became of orders that are new here, and what
-    /// changed.
+    /// Merges the gossip of a peer. Returns the outcomes of orders that were not known to this
+    /// router, and the state changes.
     pub fn merge(
         &mut self,
-        news: &[RolloutGossip],
+        gossip: &[RolloutGossip],
         now: Time,
     ) -> (Vec<(RolloutOrder, OrderOutcome)>, Vec<RolloutChange>) {
-        let mut taken = Vec::new();
+        let mut orders = Vec::new();
         let mut changes = Vec::new();
-        for news in news {
-            match self.apply_order(&news.order, now) {
+        for gossip in gossip {
+            match self.apply_order(&gossip.order, now) {
                 OrderOutcome::AlreadyKnown => {}
-                end => taken.push((news.order.clone(), end)),
+                outcome => orders.push((gossip.order.clone(), outcome)),
             }
-            let known = self.services.get_mut(&news.order.service);
-            if let Some(known) = known.filter(|known| known.order == news.order) {
-                changes.extend(known.merge(news, self.rank, &self.chart, now));
+            let known = self.services.get_mut(&gossip.order.service);
+            if let Some(known) = known.filter(|known| known.order == gossip.order) {
+                changes.extend(known.merge(gossip, self.rank, &self.chart, now));
             }
         }
-        (taken, self.after(changes))
+        (orders, self.block_rolled_back(changes))
     }
 
-    /// What to tell peers.
+    /// Gossip to send to peers.
     pub fn gossip(&mut self, now: Time) -> Vec<RolloutGossip> {
         let rollouts = self.services.values_mut();
         rollouts.filter_map(|rollout| rollout.gossip(now)).collect()
     }
 
-    /// Writes that are due now.
+    /// Status writes that are due now.
     pub fn due_writes(&self, now: Time) -> Vec<StatusWrite> {
         let rollouts = self.services.values();
         rollouts
@@ -300,35 +304,36 @@
             .collect()
     }
 
-    /// A write ended. Returns what changed.
+    /// Applies the result of a status write; returns the state changes that follow.
     pub fn on_write_result(
         &mut self,
         write: &StatusWrite,
-        end: &StatusWriteResult,
+        result: &StatusWriteResult,
         now: Time,
     ) -> Vec<RolloutChange> {
         let known = self.services.get_mut(&write.service);
         let known = known.filter(|known| known.order.revision == write.order_revision);
-        let change = known.and_then(|known| known.on_write_result(write, end, &self.chart, now));
-        self.after(change.into_iter().collect())
+        let change = known.and_then(|known| known.on_write_result(write, result, &self.chart, now));
+        self.block_rolled_back(change.into_iter().collect())
     }
 
-    /// Whether a service's last order is not in the store any more.
+    /// Whether the store does not hold the service's last order any more.
     pub fn is_withdrawn(&self, service: &str) -> bool {
         let rollout = self.services.get(service);
-        rollout.is_some_and(RunningRollout::is_withdrawn)
+        rollout.is_some_and(ServiceRollout::is_withdrawn)
     }
 
-    /// How far a service's roll-out is.
+    /// State of a service's roll-out, if there is one.
     pub fn state(&self, service: &str) -> Option<RolloutState> {
         self.services.get(service).map(|rollout| rollout.state)
     }
 
-    /// Versions that were rolled back get nothing under later orders either.
-    fn after(&mut self, changes: Vec<RolloutChange>) -> Vec<RolloutChange> {
+    /// Blocks versions that were rolled back, so that they get no requests under later orders for
+    /// other versions either.
+    fn block_rolled_back(&mut self, changes: Vec<RolloutChange>) -> Vec<RolloutChange> {
         for change in &changes {
             if change.current == RolloutState::RolledBack {
-                self.withhold(&change.service, &change.version);
+                self.block_version(&change.service, &change.version);
             }
         }
         changes
--- a/crates/stacktack-core/src/direct/rollout/order.rs
+++ b/crates/stacktack-core/src/direct/rollout/order.rs
@@ -1,45 +1,45 @@
-//! What an operator orders: a service's traffic is to move to another version.
+//! An operator's order to move the traffic of a service to another version.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest time that a roll-out may take.
-const LONGEST_DURATION: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Maximum duration of a roll-out.
+const MAX_DURATION: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// Longest name of a service or a version, in bytes: both travel in datagrams.
-const LONGEST_NAME: usize = 100;
+/// Maximum length of the name of a service or a version, which must fit into a datagram.
+const MAX_NAME_BYTES: usize = 100;
 
 /// An order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// Service whose traffic is to move.
+    /// Service whose traffic moves.
     pub service: String,
-    /// Version that it is to move to.
+    /// Version that gets the traffic.
     pub version: String,
-    /// Time in which it is to be decided.
+    /// Time within which the roll-out is decided.
     pub duration: Duration,
-    /// Revision of the operator's store at which it was given.
+    /// Revision of the operator's store at which the order was written.
     pub revision: u64,
 }
 
-/// An order that cannot be taken.
+/// Reason why an order is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum OrderError {
-    /// It names no service, or one with an overlong name.
-    #[error("a roll-out needs a service with a name of 1 to {LONGEST_NAME} bytes")]
+    /// The name of the service is empty or too long.
+    #[error("a roll-out needs a service with a name of 1 to {MAX_NAME_BYTES} bytes")]
     Service,
-    /// It names no version, or one with an overlong name.
-    #[error("a roll-out needs a version with a name of 1 to {LONGEST_NAME} bytes")]
+    /// The name of the version is empty or too long.
+    #[error("a roll-out needs a version with a name of 1 to {MAX_NAME_BYTES} bytes")]
     Version,
-    /// Its time is no time above 0, or too long.
+    /// The duration in seconds is not a number, not above 0, or too long.
     #[error("a roll-out cannot last {0} s; allowed: above 0, at most 30 days")]
     Duration(f64),
 }
 
 impl RolloutOrder {
-    /// An order with a duration in seconds, as of a revision of the operator's store.
+    /// Creates and validates an order that was written at a revision of the operator's store.
     pub fn new(
         service: String,
         version: String,
@@ -58,16 +58,16 @@
         Ok(order)
     }
 
-    /// Whether it can be taken: peers tell orders too.
+    /// Validates the order; orders also arrive unvalidated from peers.
     pub fn check(&self) -> Result<(), OrderError> {
-        let is_name = |name: &str| !name.is_empty() && name.len() <= LONGEST_NAME;
-        if !is_name(&self.service) {
+        let is_valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+        if !is_valid_name(&self.service) {
             return Err(OrderError::Service);
         }
-        if !is_name(&self.version) {
+        if !is_valid_name(&self.version) {
             return Err(OrderError::Version);
         }
-        if self.duration.is_zero() || self.duration > LONGEST_DURATION {
+        if self.duration.is_zero() || self.duration > MAX_DURATION {
             return Err(OrderError::Duration(self.duration.as_secs_f64()));
         }
         Ok(())
--- a/crates/stacktack-core/src/direct/rollout/regression.rs
+++ b/crates/stacktack-core/src/direct/rollout/regression.rs
@@ -1,68 +1,81 @@
-//! Whether a new version answers worse than the old one: sequential tests over the counts
-//! of the fleet.
+//! Detects whether a new version responds worse than the old one, by sequential tests over the
+//! counts of the fleet.
 //!
-//! For each route and for all together, errors and slowness each move two scores by the
-//! logarithm of how much likelier an answer is of a harmful version than of one that is
-//! like the old (SPRT). One score never falls below zero (CUSUM), so that a version that
-//! turns bad late is found as soon as one that is bad at once; the other adds up all that
-//! speaks for the version. What is usual is the old version's share of late, and since the
-//! score began to rise: what strikes both versions alike speaks against neither.
+//! For each route and for all routes together, errors and slow responses each move two scores
+//! by the log-likelihood ratio of a regressed version to one like the old version (SPRT). One
+//! score never falls below zero (CUSUM), so that a version that regresses late is detected as
+//! fast as one that is bad from the start; the other score is the plain sum and accepts the
+//! version. The baseline is the old version's recent share of bad responses, and its share since
+//! the CUSUM score began to rise: a fault that affects both versions counts against neither.
 
 use std::collections::BTreeMap;
 
 use super::response_counts::{ResponseCounts, RouteCounts, RouteHash, VersionCounts};
 
-/// Score from which a version is harmful: 10,000 times likelier harmful than not.
-const HARMFUL: f64 = 9.2;
+/// CUSUM score from which a version has regressed: regressed is 10,000 times likelier than not.
+const REGRESSION_SCORE: f64 = 9.2;
 
-/// Score from which a version is good over all routes together: 20 times likelier.
-const GOOD: f64 = -3.0;
+/// Total score up to which a version is accepted over all routes together: not regressed is 20
+/// times likelier.
+const ACCEPTANCE_SCORE: f64 = -3.0;
 
-/// The same on each single route.
-const GOOD_ON_ROUTE: f64 = -2.0;
+/// Total score up to which a version is accepted on a single route.
+const ROUTE_ACCEPTANCE_SCORE: f64 = -2.0;
 
-/// Share of the old version's answers from which a route has to be proved by itself.
-const ROUTE_SHARE: f64 = 0.05;
+/// Minimum share of the old version's responses from which a route has to be accepted by itself.
+const MIN_ROUTE_SHARE: f64 = 0.05;
 
-/// Bad share that is borne: a multiple of the usual one, within bounds.
-const BORNE_FACTOR: f64 = 1.5;
-const LEAST_BORNE: f64 = 0.02;
-const MOST_BORNE: f64 = 0.6;
+/// Multiple of the baseline share of bad responses that is tolerated.
+const TOLERATED_FACTOR: f64 = 1.5;
 
-/// Bad share that is harmful: a multiple of the one that is borne, within bounds.
-const HARM_FACTOR: f64 = 2.0;
-const LEAST_HARM: f64 = 0.15;
-const MOST_HARM: f64 = 0.95;
+/// Minimum share of bad responses that is tolerated.
+const MIN_TOLERATED_SHARE: f64 = 0.02;
 
-/// Answers of the old version, since a score began to rise, from which the versions can be
-/// compared: on the same route, else on all. With fewer it takes several times the score.
-const COMPARED_ANSWERS: f64 = 10.0;
-const UNCOMPARED: f64 = 4.0;
+/// Maximum share of bad responses that is tolerated.
+const MAX_TOLERATED_SHARE: f64 = 0.6;
 
-/// Answers of the old version that it is compared by: the last ones, since what strikes both
-/// versions may have begun after the score.
-const MEANWHILE_ANSWERS: f64 = 60.0;
+/// Multiple of the tolerated share of bad responses that is a regression.
+const REGRESSED_FACTOR: f64 = 2.0;
 
-/// Standard deviations that the old version's share is taken to be above what shows.
-const LUCK: f64 = 1.5;
+/// Minimum share of bad responses that is a regression.
+const MIN_REGRESSED_SHARE: f64 = 0.15;
 
-/// Answers of the old version that the usual share is taken over.
-const USUAL_ANSWERS: f64 = 200.0;
+/// Maximum share of bad responses that is required for a regression.
+const MAX_REGRESSED_SHARE: f64 = 0.95;
 
-/// Answers without a bad one that are assumed before the first.
-const ASSUMED_ANSWERS: f64 = 10.0;
+/// Minimum number of responses of the old version, since the CUSUM score began to rise, with
+/// which the versions can be compared: on the same route, or else on all routes.
+const MIN_COMPARED_RESPONSES: f64 = 10.0;
 
-/// In what a version is worse.
+/// Multiple of [`REGRESSION_SCORE`] that is required while the versions cannot be compared.
+const UNCOMPARED_SCORE_FACTOR: f64 = 4.0;
+
+/// Number of recent responses of the old version with which the new version is compared. Older
+/// responses lose their weight, since a fault that affects both versions may have begun after the
+/// score began to rise.
+const COMPARISON_WINDOW_RESPONSES: f64 = 60.0;
+
+/// Number of standard deviations by which the old version's share of bad responses is assumed to
+/// be above the observed share.
+const UPPER_BOUND_DEVIATIONS: f64 = 1.5;
+
+/// Number of recent responses of the old version over which the baseline share is taken.
+const BASELINE_WINDOW_RESPONSES: f64 = 200.0;
+
+/// Number of good responses that are assumed before the first observed one.
+const PRIOR_GOOD_RESPONSES: f64 = 10.0;
+
+/// Way in which a version is worse than the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegressionKind {
-    /// More of its answers fail.
+    /// More of its responses fail.
     Errors,
-    /// More of its answers are slow.
+    /// More of its responses are slow.
     Slowness,
 }
 
 impl RegressionKind {
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             RegressionKind::Errors => "errors",
@@ -71,73 +84,80 @@
     }
 }
 
-/// What a version was found harmful by.
+/// A detected regression of the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Regression {
-    /// The route; `None` for all together.
+    /// Route on which it was detected; `None` for all routes together.
     pub route: Option<RouteHash>,
-    /// In what it is worse.
+    /// Way in which the new version is worse.
     pub kind: RegressionKind,
-    /// Answers of the new version that are known.
+    /// Known responses of the new version, on that route or on all routes.
     pub counts: ResponseCounts,
 }
 
-/// Tests of one version.
+/// Sequential tests of one new version.
 #[derive(Clone, Debug, Default)]
 pub struct RegressionDetector {
-    seen: RouteCounts,
+    /// Cumulative counts as of the last update.
+    previous: RouteCounts,
     routes: BTreeMap<RouteHash, RouteTest>,
-    together: RouteTest,
+    all_routes: RouteTest,
 }
 
 impl RegressionDetector {
-    /// Takes the counts so far; returns the harm that they show, if any.
-    pub fn take(&mut self, totals: &RouteCounts) -> Option<Regression> {
-        let mut news = RouteCounts::new();
+    /// Updates the tests with the cumulative counts so far; returns the regression that they show,
+    /// if any.
+    pub fn update(&mut self, totals: &RouteCounts) -> Option<Regression> {
+        let mut deltas = RouteCounts::new();
         let mut all = VersionCounts::default();
-        let mut all_news = VersionCounts::default();
+        let mut all_delta = VersionCounts::default();
         for (route, counts) in totals {
-            let seen = self.seen.get(route).copied().unwrap_or_default();
-            let since = counts.since(&seen);
+            let previous = self.previous.get(route).copied().unwrap_or_default();
+            let delta = counts.since(&previous);
             all.add(counts);
-            all_news.add(&since);
-            news.insert(*route, since);
+            all_delta.add(&delta);
+            deltas.insert(*route, delta);
         }
         let mut found = None;
-        for (route, news) in &news {
+        for (route, delta) in &deltas {
             let test = self.routes.entry(*route).or_default();
-            let harm = test.take(news, &all_news.old).map(|kind| Regression {
+            let regression = test.update(delta, &all_delta.old).map(|kind| Regression {
                 route: Some(*route),
                 kind,
                 counts: totals.get(route).copied().unwrap_or_default().new,
             });
-            found = found.or(harm);
+            found = found.or(regression);
         }
-        self.seen.clone_from(totals);
-        let together = self
-            .together
-            .take(&all_news, &all_news.old)
+        self.previous.clone_from(totals);
+        let on_all_routes = self
+            .all_routes
+            .update(&all_delta, &all_delta.old)
             .map(|kind| Regression {
                 route: None,
                 kind,
                 counts: all.new,
             });
-        found.or(together)
+        found.or(on_all_routes)
     }
 
-    /// Whether the counts so far speak for the version: over all routes together, and on
-    /// each that gets much of the traffic if `on_each` is asked for.
-    pub fn is_good(&self, on_each: bool) -> bool {
-        let answers: u32 = self.seen.values().map(|counts| counts.old.responses).sum();
+    /// Whether the counts so far accept the version: over all routes together and, if `each_route`
+    /// is set, on each route with at least `MIN_ROUTE_SHARE` of the old version's responses.
+    pub fn is_accepted(&self, each_route: bool) -> bool {
+        let responses: u32 = self
+            .previous
+            .values()
+            .map(|counts| counts.old.responses)
+            .sum();
         let is_large = |route: &RouteHash| {
-            let counts = self.seen.get(route);
+            let counts = self.previous.get(route);
             let old = counts.map_or(0, |counts| counts.old.responses);
-            f64::from(old) >= ROUTE_SHARE * f64::from(answers)
+            f64::from(old) >= MIN_ROUTE_SHARE * f64::from(responses)
         };
         let mut routes = self.routes.iter();
-        self.together.is_good(GOOD)
-            && routes
-                .all(|(route, test)| !on_each || !is_large(route) || test.is_good(GOOD_ON_ROUTE))
+        self.all_routes.is_accepted(ACCEPTANCE_SCORE)
+            && routes.all(|(route, test)| {
+                !each_route || !is_large(route) || test.is_accepted(ROUTE_ACCEPTANCE_SCORE)
+            })
     }
 }
 
@@ -148,117 +168,130 @@
 }
 
 impl RouteTest {
-    /// Takes news of both versions, and of the old one on all routes.
-    fn take(&mut self, news: &VersionCounts, all: &ResponseCounts) -> Option<RegressionKind> {
-        let VersionCounts { new, old } = news;
-        // Failed answers say nothing of speed.
-        let ran = |counts: &ResponseCounts| counts.responses.saturating_sub(counts.failed);
+    /// Updates the tests with new responses of both versions on this route, and of the old version
+    /// on all routes.
+    fn update(&mut self, delta: &VersionCounts, all: &ResponseCounts) -> Option<RegressionKind> {
+        let VersionCounts { new, old } = delta;
+        // Failed responses say nothing about latency.
+        let succeeded = |counts: &ResponseCounts| counts.responses.saturating_sub(counts.failed);
         let (errors, all_errors) = (old.failed, all.failed);
         self.errors
-            .take_usual((errors, old.responses), (all_errors, all.responses));
+            .update_baseline((errors, old.responses), (all_errors, all.responses));
         self.slowness
-            .take_usual((old.slow, ran(old)), (all.slow, ran(all)));
-        if self.errors.take(new.failed, new.responses) {
+            .update_baseline((old.slow, succeeded(old)), (all.slow, succeeded(all)));
+        if self.errors.update(new.failed, new.responses) {
             return Some(RegressionKind::Errors);
         }
-        let is_slow = self.slowness.take(new.slow, ran(new));
+        let is_slow = self.slowness.update(new.slow, succeeded(new));
         is_slow.then_some(RegressionKind::Slowness)
     }
 
-    fn is_good(&self, score: f64) -> bool {
-        self.errors.sum <= score && self.slowness.sum <= score
+    fn is_accepted(&self, score: f64) -> bool {
+        self.errors.total_score <= score && self.slowness.total_score <= score
     }
 }
 
-/// Answers and the bad ones among them.
+/// Number of responses, and of the bad ones among them.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    answers: f64,
+struct BadShare {
+    responses: f64,
     bad: f64,
 }
 
-impl Share {
-    fn add(&mut self, bad: u32, answers: u32) {
-        self.answers += f64::from(answers);
+impl BadShare {
+    fn add(&mut self, bad: u32, responses: u32) {
+        self.responses += f64::from(responses);
         self.bad += f64::from(bad);
     }
 
-    fn keep(&mut self, answers: f64) {
-        if self.answers > answers {
-            self.bad *= answers / self.answers;
-            self.answers = answers;
+    /// Scales the counts down to at most `window` responses, so that older responses lose weight.
+    fn limit(&mut self, window: f64) {
+        if self.responses > window {
+            self.bad *= window / self.responses;
+            self.responses = window;
         }
     }
 
-    /// The share of bad ones.
+    /// Share of bad responses, including [`PRIOR_GOOD_RESPONSES`].
     fn value(&self) -> f64 {
-        self.bad / (self.answers + ASSUMED_ANSWERS)
+        self.bad / (self.responses + PRIOR_GOOD_RESPONSES)
     }
 
-    /// A share that the true one is hardly above: what few answers show may be luck.
-    fn upper_value(&self) -> f64 {
-        (self.bad + LUCK * (self.bad + 1.0).sqrt()) / self.answers.max(1.0)
+    /// Upper bound that the true share hardly exceeds: a low share of few responses may be chance.
+    fn upper_bound(&self) -> f64 {
+        (self.bad + UPPER_BOUND_DEVIATIONS * (self.bad + 1.0).sqrt()) / self.responses.max(1.0)
     }
 
-    /// Logarithm of how much likelier these answers are of a harmful version than of one
-    /// that is like the old, where that has a usual share.
-    fn score(&self, usual: f64) -> f64 {
-        let borne = (usual * BORNE_FACTOR).clamp(LEAST_BORNE, MOST_BORNE);
-        let harm = (borne * HARM_FACTOR).clamp(LEAST_HARM, MOST_HARM);
-        let good = self.answers - self.bad;
-        self.bad * (harm / borne).ln() + good * ((1.0 - harm) / (1.0 - borne)).ln()
+    /// Log-likelihood ratio of these responses: of a regressed version to one like the old
+    /// version, whose share of bad responses is `baseline`.
+    fn score(&self, baseline: f64) -> f64 {
+        let tolerated =
+            (baseline * TOLERATED_FACTOR).clamp(MIN_TOLERATED_SHARE, MAX_TOLERATED_SHARE);
+        let regressed =
+            (tolerated * REGRESSED_FACTOR).clamp(MIN_REGRESSED_SHARE, MAX_REGRESSED_SHARE);
+        let good = self.responses - self.bad;
+        self.bad * (regressed / tolerated).ln()
+            + good * ((1.0 - regressed) / (1.0 - tolerated)).ln()
     }
 }
 
-/// Test of one share of bad answers.
+/// Sequential test of one share of bad responses.
 #[derive(Clone, Copy, Debug, Default)]
 struct ShareTest {
-    /// The old version's answers of late.
-    usual: Share,
-    score: f64,
-    sum: f64,
-    /// Answers of both versions since the score was zero.
-    rising: Share,
-    rising_old: Share,
-    /// Answers of the old version on all routes since then.
-    rising_all: Share,
+    /// Recent responses of the old version.
+    baseline: BadShare,
+    /// CUSUM score, never below zero.
+    cusum_score: f64,
+    /// Sum of all score increments.
+    total_score: f64,
+    /// Responses of the new version since the CUSUM score was zero.
+    rising_new: BadShare,
+    /// Recent responses of the old version on this route since the CUSUM score was zero.
+    rising_old: BadShare,
+    /// Recent responses of the old version on all routes since the CUSUM score was zero.
+    rising_old_all_routes: BadShare,
 }
 
 impl ShareTest {
-    /// Takes answers of the old version, on this route and on all.
-    fn take_usual(&mut self, old: (u32, u32), all: (u32, u32)) {
-        self.usual.add(old.0, old.1);
-        self.usual.keep(USUAL_ANSWERS);
+    /// Adds responses of the old version, on this route and on all routes, each as the number of
+    /// bad ones and of all.
+    fn update_baseline(&mut self, old: (u32, u32), all: (u32, u32)) {
+        self.baseline.add(old.0, old.1);
+        self.baseline.limit(BASELINE_WINDOW_RESPONSES);
         self.rising_old.add(old.0, old.1);
-        self.rising_old.keep(MEANWHILE_ANSWERS);
-        self.rising_all.add(all.0, all.1);
-        self.rising_all.keep(MEANWHILE_ANSWERS);
+        self.rising_old.limit(COMPARISON_WINDOW_RESPONSES);
+        self.rising_old_all_routes.add(all.0, all.1);
+        self.rising_old_all_routes
+            .limit(COMPARISON_WINDOW_RESPONSES);
     }
 
-    /// Takes answers of the new version; returns whether it is harmful.
-    fn take(&mut self, bad: u32, answers: u32) -> bool {
-        let mut news = Share::default();
-        news.add(bad, answers);
-        let step = news.score(self.usual.value());
-        self.sum += step;
-        self.score = (self.score + step).max(0.0);
-        if self.score == 0.0 {
-            self.rising = Share::default();
-            self.rising_old = Share::default();
-            self.rising_all = Share::default();
+    /// Adds responses of the new version; returns whether it has regressed.
+    fn update(&mut self, bad: u32, responses: u32) -> bool {
+        let mut delta = BadShare::default();
+        delta.add(bad, responses);
+        let increment = delta.score(self.baseline.value());
+        self.total_score += increment;
+        self.cusum_score = (self.cusum_score + increment).max(0.0);
+        if self.cusum_score == 0.0 {
+            self.rising_new = BadShare::default();
+            self.rising_old = BadShare::default();
+            self.rising_old_all_routes = BadShare::default();
             return false;
         }
-        self.rising.add(bad, answers);
-        self.score >= HARMFUL && self.is_confirmed()
+        self.rising_new.add(bad, responses);
+        self.cusum_score >= REGRESSION_SCORE && self.is_confirmed()
     }
 
-    /// Whether the new version does worse than the old one did meanwhile.
+    /// Whether the new version is worse than the old one was while the CUSUM score rose.
     fn is_confirmed(&self) -> bool {
-        let compared = [self.rising_old, self.rising_all]
+        let compared = [self.rising_old, self.rising_old_all_routes]
             .into_iter()
-            .find(|old| old.answers >= COMPARED_ANSWERS);
-        let meanwhile = compared.map_or(0.0, |old| old.upper_value());
-        let score = self.rising.score(self.usual.value().max(meanwhile));
-        score >= compared.map_or(UNCOMPARED * HARMFUL, |_| HARMFUL)
+            .find(|old| old.responses >= MIN_COMPARED_RESPONSES);
+        let concurrent = compared.map_or(0.0, |old| old.upper_bound());
+        let score = self.rising_new.score(self.baseline.value().max(concurrent));
+        score
+            >= compared.map_or(UNCOMPARED_SCORE_FACTOR * REGRESSION_SCORE, |_| {
+                REGRESSION_SCORE
+            })
     }
 }
--- a/crates/stacktack-core/src/direct/rollout/response_counts.rs
+++ b/crates/stacktack-core/src/direct/rollout/response_counts.rs
@@ -1,9 +1,9 @@
-//! How answers of the new version and of the old one went, counted by route, in a form that
-//! routers can merge.
+//! Counts of the responses of the new and the old version by route, in a form that routers can
+//! merge.
 //!
-//! Each router counts its own answers since the order; what it tells is the whole count so
-//! far. The newest count of each incarnation of a router replaces the one before, so that
-//! news may arrive late, twice and in any order.
+//! Each router counts its own responses since the order and gossips its cumulative counts. The
+//! newest counts of each incarnation of a router replace the previous ones, so that gossip may
+//! arrive late, twice and in any order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,63 +13,68 @@
 
 use super::latency::log_latency_units;
 
-/// Incarnations of routers whose counts are kept: a fleet of some hundred routers that
-/// restart several times.
-const MOST_ROUTERS: usize = 2048;
+/// Maximum number of router incarnations whose counts are kept; it suffices for a fleet of some
+/// hundred routers that restart several times.
+const MAX_INCARNATIONS: usize = 2048;
 
-/// Routes that one router counts: more of one service are counted together.
-const MOST_ROUTES: usize = 24;
+/// Maximum number of routes of a service that one router counts separately; it counts any
+/// further routes together.
+const MAX_ROUTES: usize = 24;
 
-/// Counts of others that are told at once: those with the newest bad answers, which have to
-/// arrive early, and some in turn. The tests bear that bad answers arrive before good ones.
-const TOLD_NEWEST: usize = 2;
-const TOLD_IN_TURN: usize = 3;
+/// Maximum number of other routers with recent bad responses whose counts each gossip contains.
+/// Bad responses have to spread early; the sequential tests tolerate that they arrive before
+/// good ones.
+const MAX_GOSSIPED_RECENT_BAD: usize = 2;
 
-/// Short form of a route's name.
+/// Maximum number of further routers whose counts each gossip contains, in turn.
+const MAX_GOSSIPED_IN_TURN: usize = 3;
+
+/// 16-bit hash of a route's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteHash(u16);
 
 impl RouteHash {
-    /// All further routes of a router that serves too many to count each.
+    /// All routes of a router beyond the first [`MAX_ROUTES`].
     const OTHERS: RouteHash = RouteHash(0);
 
-    /// From a route's name.
+    /// Hashes a route's name.
     pub fn of(name: &str) -> Self {
         RouteHash(xxh3_64(name.as_bytes()) as u16)
     }
 }
 
-/// How answers of one version went.
+/// Counts of the responses of one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseCounts {
-    /// Answers, failed ones included.
+    /// Responses, failed ones included.
     pub responses: u32,
-    /// Those that failed.
+    /// Responses that failed.
     pub failed: u32,
-    /// Those that did not fail and were slow.
+    /// Responses that succeeded and were slow.
     pub slow: u32,
-    /// Sum of the logarithms of the times that those took which did not fail.
+    /// Sum of the logarithms of the times to first byte of the responses that succeeded, in the
+    /// units of [`log_latency_units`].
     pub log_latency_sum: u32,
 }
 
-/// How one answer went.
+/// Outcome of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOutcome {
-    /// It did not fail.
+    /// The response did not fail.
     Succeeded {
-        /// Time to its first byte.
+        /// Time to first byte.
         latency: Duration,
-        /// Whether that was slow.
+        /// Whether the response counts as slow.
         is_slow: bool,
     },
-    /// It failed.
+    /// The response failed.
     Failed,
 }
 
 impl ResponseCounts {
-    fn record(&mut self, grade: ResponseOutcome) {
+    fn record(&mut self, outcome: ResponseOutcome) {
         self.responses += 1;
-        match grade {
+        match outcome {
             ResponseOutcome::Failed => self.failed += 1,
             ResponseOutcome::Succeeded { latency, is_slow } => {
                 self.slow += u32::from(is_slow);
@@ -80,7 +85,7 @@
         }
     }
 
-    /// Adds another count.
+    /// Adds other counts.
     pub fn add(&mut self, other: &ResponseCounts) {
         self.responses = self.responses.saturating_add(other.responses);
         self.failed = self.failed.saturating_add(other.failed);
@@ -88,7 +93,7 @@
         self.log_latency_sum = self.log_latency_sum.saturating_add(other.log_latency_sum);
     }
 
-    /// What was counted after an earlier count.
+    /// Difference to earlier counts.
     pub fn since(&self, earlier: &ResponseCounts) -> ResponseCounts {
         ResponseCounts {
             responses: self.responses.saturating_sub(earlier.responses),
@@ -99,12 +104,12 @@
     }
 }
 
-/// How answers on one route went.
+/// Counts of the responses on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounts {
-    /// Of the new version.
+    /// Responses of the new version.
     pub new: ResponseCounts,
-    /// Of the old one.
+    /// Responses of the old version.
     pub old: ResponseCounts,
 }
 
@@ -115,7 +120,7 @@
         self.old.add(&other.old);
     }
 
-    /// What was counted after earlier counts.
+    /// Difference to earlier counts.
     pub fn since(&self, earlier: &VersionCounts) -> VersionCounts {
         VersionCounts {
             new: self.new.since(&earlier.new),
@@ -124,43 +129,43 @@
     }
 }
 
-/// Counts by route.
+/// Response counts by route.
 pub type RouteCounts = BTreeMap<RouteHash, VersionCounts>;
 
-/// The counts of one router as routers tell them.
+/// Cumulative counts of one router, as routers gossip them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterCounts {
-    /// Incarnation of the router that counted.
+    /// Incarnation of the router that counted the responses.
     pub router: u32,
-    /// Answers that it counted in all.
+    /// Total number of responses that the router counted.
     pub responses: u32,
-    /// Its counts.
+    /// Counts of the router by route.
     pub routes: RouteCounts,
 }
 
 impl RouterCounts {
-    /// Answers of the new version that failed or were slow.
-    fn bad(&self) -> u32 {
+    /// Number of responses of the new version that failed or were slow.
+    fn bad_responses(&self) -> u32 {
         let counts = self.routes.values().map(|counts| counts.new);
         counts.map(|new| new.failed.saturating_add(new.slow)).sum()
     }
 }
 
-/// Counts of the whole fleet as far as one router knows them.
+/// Counts of the whole fleet, as far as one router knows them.
 #[derive(Clone, Debug)]
 pub struct FleetCounts {
     own: RouterCounts,
     others: BTreeMap<u32, RouterCounts>,
-    /// Sums of all counts.
+    /// Sums over all routers.
     totals: RouteCounts,
-    /// Others with new bad answers, the newest last.
-    newest: Vec<u32>,
-    /// Place of the next one to be told in turn.
-    turn: usize,
+    /// Other routers with the most recent bad responses, the latest last.
+    recent_bad: Vec<u32>,
+    /// Offset of the next router whose counts are gossiped in turn, modulo their number.
+    next_in_turn: usize,
 }
 
 impl FleetCounts {
-    /// Nothing is counted; `router` is the incarnation of this one.
+    /// Creates empty counts; `router` is the incarnation of this router.
     pub fn new(router: u32) -> Self {
         FleetCounts {
             own: RouterCounts {
@@ -169,83 +174,92 @@
             },
             others: BTreeMap::new(),
             totals: RouteCounts::new(),
-            newest: Vec::new(),
-            turn: 0,
+            recent_bad: Vec::new(),
+            next_in_turn: 0,
         }
     }
 
-    /// An answer of this router's own.
-    pub fn record(&mut self, route: RouteHash, is_new: bool, grade: ResponseOutcome) {
+    /// Counts a response to one of this router's own requests.
+    pub fn record(&mut self, route: RouteHash, is_new: bool, outcome: ResponseOutcome) {
         let routes = &mut self.own.routes;
-        let is_counted = routes.contains_key(&route) || routes.len() < MOST_ROUTES;
-        let route = if is_counted { route } else { RouteHash::OTHERS };
+        let is_separate = routes.contains_key(&route) || routes.len() < MAX_ROUTES;
+        let route = if is_separate {
+            route
+        } else {
+            RouteHash::OTHERS
+        };
         for routes in [routes, &mut self.totals] {
             let counts = routes.entry(route).or_default();
-            let side = if is_new {
+            let version_counts = if is_new {
                 &mut counts.new
             } else {
                 &mut counts.old
             };
-            side.record(grade);
+            version_counts.record(outcome);
         }
         self.own.responses += 1;
     }
 
-    /// Takes the counts of another router. Returns whether they are news.
-    pub fn merge(&mut self, news: &RouterCounts) -> bool {
-        if news.router == self.own.router {
+    /// Merges the counts of another router. Returns whether they were new and are kept.
+    pub fn merge(&mut self, received: &RouterCounts) -> bool {
+        if received.router == self.own.router {
             return false;
         }
-        let known = self.others.get(&news.router);
-        if known.is_some_and(|known| known.responses >= news.responses) {
+        let known = self.others.get(&received.router);
+        if known.is_some_and(|known| known.responses >= received.responses) {
             return false;
         }
-        if known.is_none() && self.others.len() >= MOST_ROUTERS {
+        if known.is_none() && self.others.len() >= MAX_INCARNATIONS {
             return false;
         }
-        if news.bad() > known.map_or(0, RouterCounts::bad) {
-            self.newest.retain(|router| *router != news.router);
-            self.newest.push(news.router);
-            if self.newest.len() > TOLD_NEWEST {
-                self.newest.remove(0);
+        if received.bad_responses() > known.map_or(0, RouterCounts::bad_responses) {
+            self.recent_bad.retain(|router| *router != received.router);
+            self.recent_bad.push(received.router);
+            if self.recent_bad.len() > MAX_GOSSIPED_RECENT_BAD {
+                self.recent_bad.remove(0);
             }
         }
-        let nothing = RouteCounts::new();
-        let before = known.map_or(&nothing, |known| &known.routes);
-        for (route, counts) in &news.routes {
+        let empty = RouteCounts::new();
+        let before = known.map_or(&empty, |known| &known.routes);
+        for (route, counts) in &received.routes {
             let before = before.get(route).copied().unwrap_or_default();
             let total = self.totals.entry(*route).or_default();
             total.add(&counts.since(&before));
         }
-        self.others.insert(news.router, news.clone());
+        self.others.insert(received.router, received.clone());
         true
     }
 
-    /// Counts of all routers that are known.
+    /// Sums of the counts of all known routers.
     pub fn totals(&self) -> &RouteCounts {
         &self.totals
     }
 
-    /// Counts to tell others: the own ones, those with the newest bad answers, and some in turn.
+    /// Counts to send to peers: those of this router, those of the routers with the most recent
+    /// bad responses, and some of the others in turn.
     pub fn gossip(&mut self) -> Vec<RouterCounts> {
-        let mut told = Vec::new();
+        let mut gossip = Vec::new();
         if self.own.responses > 0 {
-            told.push(self.own.clone());
+            gossip.push(self.own.clone());
         }
-        let newest = self.newest.iter().rev();
-        told.extend(newest.filter_map(|router| self.others.get(router).cloned()));
-        let is_told = |news: &&RouterCounts| self.newest.contains(&news.router);
-        let rest: Vec<&RouterCounts> = self.others.values().filter(|news| !is_told(news)).collect();
-        let count = rest.len().min(TOLD_IN_TURN);
-        let first = self.turn.checked_rem(rest.len()).unwrap_or(0);
-        told.extend(
+        let recent_bad = self.recent_bad.iter().rev();
+        gossip.extend(recent_bad.filter_map(|router| self.others.get(router).cloned()));
+        let is_recent_bad = |counts: &&RouterCounts| self.recent_bad.contains(&counts.router);
+        let rest: Vec<&RouterCounts> = self
+            .others
+            .values()
+            .filter(|counts| !is_recent_bad(counts))
+            .collect();
+        let count = rest.len().min(MAX_GOSSIPED_IN_TURN);
+        let first = self.next_in_turn.checked_rem(rest.len()).unwrap_or(0);
+        gossip.extend(
             rest.iter()
                 .cycle()
                 .skip(first)
                 .take(count)
-                .map(|news| (*news).clone()),
+                .map(|counts| (*counts).clone()),
         );
-        self.turn = self.turn.wrapping_add(count);
-        told
+        self.next_in_turn = self.next_in_turn.wrapping_add(count);
+        gossip
     }
 }
--- a/crates/stacktack-core/src/direct/rollout/state.rs
+++ b/crates/stacktack-core/src/direct/rollout/state.rs
@@ -1,40 +1,42 @@
-//! How far a roll-out is at one router: states, events and actions of the chart
+//! States, events and actions of a roll-out at one router, as declared in the chart
 //! `charts/rollout.toml`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::chart::Chart;
 
-/// The chart of a roll-out, from `charts/`.
+/// Source of the state chart of a roll-out.
 pub const CHART: &str = include_str!("../../../../../charts/rollout.toml");
 
-/// Chart of a roll-out.
+/// State chart of a roll-out.
 pub type RolloutChart = Chart<RolloutState, RolloutEvent, RolloutAction>;
 
-/// How far a roll-out is.
+/// State of a roll-out at one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// It is not known yet whether the store holds that it runs, or how it ended.
+    /// The router does not know yet whether the store holds the roll-out as running, or its
+    /// outcome.
     Unannounced,
     /// A small share of the traffic goes to the new version.
     Canary,
-    /// The whole traffic goes there for as long as the share that was saved lasts.
+    /// The full traffic goes to the new version until the part of the exposure bound that the
+    /// canary state left is used up.
     Trial,
-    /// It is proved good: the whole traffic goes there.
+    /// The new version is proved good: the full traffic goes there.
     Whole,
-    /// The whole traffic went there for long enough: that is to be stored.
+    /// The new version had the full traffic for long enough: the outcome must be stored.
     Finished,
-    /// Nothing goes to the new version: that is to be stored.
+    /// Nothing goes to the new version any more: the outcome must be stored.
     Stopped,
-    /// The store holds that it is completed.
+    /// The store holds the roll-out as completed.
     Completed,
-    /// The store holds that it is rolled back.
+    /// The store holds the roll-out as rolled back.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             RolloutState::Unannounced => "unannounced",
@@ -54,36 +56,36 @@
     }
 }
 
-/// What happens to a roll-out.
+/// Event of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutEvent {
-    /// The store holds that it runs.
+    /// The store holds the roll-out as running.
     StoredRunning,
-    /// Its answers are good so far.
+    /// The new version's responses are good so far.
     Proved,
-    /// Its answers are good under the whole traffic too.
+    /// The new version's responses are good under the full traffic too.
     Passed,
-    /// The whole traffic went there for long enough.
+    /// The new version had the full traffic for long enough.
     Lasted,
-    /// It does harm.
+    /// A regression of the new version was detected.
     Harmed,
-    /// The time is over in which it was to be proved.
+    /// The time within which the new version had to be proved is over.
     Expired,
-    /// The store holds that it is completed.
+    /// The store holds the roll-out as completed.
     StoredCompleted,
-    /// The store holds that it is rolled back.
+    /// The store holds the roll-out as rolled back.
     StoredRolledBack,
 }
 
-/// What follows.
+/// Action of a state transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutAction {
-    /// The state is to be written to the store.
+    /// Schedules a write of the state to the store.
     PlanWrite,
-    /// Nothing is to be written any more.
+    /// Cancels the scheduled write.
     ForgetWrite,
-    /// Others are to hear of it at once.
+    /// Notifies peers at once.
     Alarm,
 }
--- a/crates/stacktack-core/src/direct/rollout/status.rs
+++ b/crates/stacktack-core/src/direct/rollout/status.rs
@@ -1,10 +1,10 @@
-//! What the store holds of a roll-out, and what is to be written there.
+//! The status of a roll-out in the store, and conditional writes of the status.
 //!
-//! Revisions of the store come from one counter: a status whose revision is above that of the
-//! order belongs to it, an older one to an order before. Each write expects order and status
-//! at the revisions that its writer knows, so that of several writers one succeeds and the
-//! others learn what it wrote. Which one that is does not matter, nor when it ends: there is
-//! no leader, and a write that is done late finds its condition broken.
+//! Revisions of the store come from one counter: a status with a higher revision than the order
+//! belongs to that order, a status with a lower one to an earlier order. Each write requires
+//! that order and status still have the revisions that its writer knows, so that one of several
+//! writers succeeds and the others learn what it wrote. It does not matter which writer succeeds
+//! or when a write ends: there is no leader, and the condition of a late write fails.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 /// State of a roll-out in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StoredState {
-    /// It runs.
+    /// The roll-out is running.
     Running,
-    /// The new version has all the traffic for good.
+    /// The new version keeps the full traffic.
     Completed,
     /// The new version gets no traffic any more.
     RolledBack,
 }
 
 impl StoredState {
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             StoredState::Running => "running",
@@ -33,50 +33,50 @@
     }
 }
 
-/// What the store holds of a service's last roll-out.
+/// Status of a service's last roll-out in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredStatus {
-    /// How far it is.
+    /// State of the roll-out.
     pub state: StoredState,
-    /// Version that the traffic was to move to.
+    /// New version of the roll-out.
     pub version: String,
-    /// Revision at which that was stored.
+    /// Revision at which the status was stored.
     pub revision: u64,
 }
 
-/// A write of a status that is due.
+/// A conditional write of a status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusWrite {
-    /// Service.
+    /// Service of the roll-out.
     pub service: String,
-    /// Version that its traffic was to move to.
+    /// New version of the roll-out.
     pub version: String,
     /// State to store.
     pub state: StoredState,
-    /// Revision that the order has to have.
+    /// Revision that the order must have.
     pub order_revision: u64,
-    /// Revision that the status has to have; 0 for none.
+    /// Revision that the status must have; 0 if there must be none.
     pub status_revision: u64,
 }
 
-/// How a write of a status ended.
+/// Result of a write of a status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusWriteResult {
-    /// It is stored as of a revision.
+    /// The status was stored at this revision.
     Stored(u64),
-    /// Order or status have changed.
+    /// The order or the status has another revision than expected.
     Conflict {
-        /// Revision of the order; 0 when there is none any more.
+        /// Revision of the order in the store; 0 if there is none any more.
         order_revision: u64,
-        /// The status, if there is one.
+        /// Status in the store, if there is one.
         status: Option<StoredStatus>,
     },
 }
 
-/// Place of a router among those that write, of those it knows: the first writes at once, the
-/// others where it does not.
+/// Rank of a router among the routers that it knows, in the order in which they write a status.
+/// The router of rank 0 writes at once, the others only if those before them did not.
 pub fn write_rank(own: SocketAddr, others: &[SocketAddr]) -> usize {
-    let place = |router: &SocketAddr| xxh3_64(router.to_string().as_bytes());
-    let own = place(&own);
-    others.iter().filter(|other| place(other) < own).count()
+    let hash = |router: &SocketAddr| xxh3_64(router.to_string().as_bytes());
+    let own = hash(&own);
+    others.iter().filter(|other| hash(other) < own).count()
 }
