--- a/crates/stacktack-core/src/direct/peers/snapshot_transfers.rs
+++ b/crates/stacktack-core/src/direct/peers/snapshot_transfers.rs
@@ -59,7 +59,7 @@
     }
 
     /// The document that is handed over has so many bytes.
-    pub fn set_document_bytes(&mut self, bytes: usize) {
+    pub fn set_snapshot_bytes(&mut self, bytes: usize) {
         self.document_bytes = Some(bytes);
     }
 
--- a/crates/stacktack-core/tests/hand_over.rs
+++ b/crates/stacktack-core/tests/hand_over.rs
@@ -50,7 +50,7 @@
     for (bytes, near, far) in [(2000, 14..=16, 0..=2), (40_000, 1..=4, 1..=1)] {
         let mut handed = SnapshotTransfers::default();
         let first = handed.begin(None, at(0)).expect("has room");
-        handed.set_document_bytes(bytes);
+        handed.set_snapshot_bytes(bytes);
         let begun = (0..75).filter(|_| handed.begin(None, at(0)).is_some());
         assert!(near.contains(&begun.count()), "{bytes}");
         let begun = (0..75).filter(|_| handed.begin(zone("b"), at(0)).is_some());
--- a/crates/stacktack-direct/src/knowledge.rs
+++ b/crates/stacktack-direct/src/knowledge.rs
@@ -312,7 +312,7 @@
         number,
     };
     let (status, body) = answer_peer(router, path_and_query);
-    handed.borrow_mut().set_document_bytes(body.len());
+    handed.borrow_mut().set_snapshot_bytes(body.len());
     (status, body, Some(under_way))
 }
 
