--- a/crates/stacktack-core/src/direct/peers/bootstrap.rs
+++ b/crates/stacktack-core/src/direct/peers/bootstrap.rs
@@ -1,4 +1,5 @@
-//! Routers that start and lack what others know: they are told at once, and again while they lack it.
+//! Bootstrap of routers that start: a peer without a configuration or directory gets gossip at
+//! once, and again with backoff while it lacks either of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,84 +11,93 @@
 use crate::direct::peers::Peers;
 use crate::time::Time;
 
-/// Newcomers that wait to be told news at once.
-const MAXIMUM_NEWCOMERS: usize = 64;
+/// Maximum number of uninitialized peers that wait for a bootstrap push.
+const MAX_WAITING_PEERS: usize = 64;
 
-/// Time after which a newcomer that was told and still knows nothing is told again, at first.
-const WELCOME_AGAIN: Duration = Duration::from_millis(100);
+/// Time after the first bootstrap push before the second one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How much longer it takes each time.
-const WELCOME_GROWTH: u32 = 4;
+/// Factor by which the backoff grows with each further push.
+const BACKOFF_FACTOR: u32 = 4;
 
-/// Times that it takes longer.
-const MOST_GROWTHS: u32 = 5;
+/// Number of pushes after which the backoff no longer grows.
+const MAX_BACKOFF_PUSHES: u32 = 5;
 
-/// Bytes that newcomers are told on credit, in seconds of the budget: rounds leave none. Where all start at
-/// once, each that is told tells others; rounds wait meanwhile.
-const CREDIT_FOR_NEWCOMERS: f64 = 0.5;
+/// Bytes that bootstrap pushes may overdraw, in seconds of the byte budget, since regular rounds
+/// leave none. When all routers start at once, each one that has been initialized initializes
+/// others; regular rounds wait until the overdraft is repaid.
+const PUSH_CREDIT_SECONDS: f64 = 0.5;
 
-/// How often a peer that knew nothing was told so far.
+/// Bootstrap pushes to one uninitialized peer so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Welcomes {
+pub(super) struct BootstrapPushes {
     count: u32,
     last: Time,
 }
 
-impl Welcomes {
-    /// Whether it is to be told again, later each time.
+impl BootstrapPushes {
+    /// Whether the backoff since the last push is over.
     fn is_due(self, now: Time) -> bool {
-        let pause = match self.count {
+        let backoff = match self.count {
             0 => Duration::ZERO,
-            count => WELCOME_AGAIN * WELCOME_GROWTH.pow(count.min(MOST_GROWTHS) - 1),
+            count => INITIAL_BACKOFF * BACKOFF_FACTOR.pow(count.min(MAX_BACKOFF_PUSHES) - 1),
         };
-        now.since(self.last) >= pause
+        now.since(self.last) >= backoff
     }
 
-    fn note(&mut self, now: Time) {
+    fn record(&mut self, now: Time) {
         self.count += 1;
         self.last = now;
     }
 }
 
-/// Whether a router has heard of the configuration and of the directory.
-pub(super) fn knows_both(configuration: u64, directory: u64) -> bool {
+/// Whether a router with these revisions has a configuration and a directory; 0 stands for none.
+pub(super) fn is_initialized(configuration: u64, directory: u64) -> bool {
     configuration > 0 && directory > 0
 }
 
 impl Peers {
-    /// Whether newcomers wait to be told.
+    /// Whether uninitialized peers wait for a bootstrap push.
     pub fn has_uninitialized_peers(&self) -> bool {
-        !self.newcomers.is_empty()
+        !self.uninitialized.is_empty()
     }
 
-    /// The newcomers to tell now. They are drawn: those who tell the same ones do not all begin with the
-    /// same.
-    pub(super) fn welcome(&mut self, random: &mut impl Rng) -> Vec<SocketAddr> {
-        let credit = self.bytes_per_second * CREDIT_FOR_NEWCOMERS;
-        let count = self.affordable(credit).min(self.newcomers.len());
-        // Those that are drawn come to stand last.
-        let (drawn, left) = self.newcomers.partial_shuffle(random, count);
+    /// Takes the uninitialized peers to push to now. They are drawn at random, so that routers with
+    /// the same peers waiting do not all start with the same ones.
+    pub(super) fn take_uninitialized(&mut self, random: &mut impl Rng) -> Vec<SocketAddr> {
+        let credit_bytes = self.bytes_per_second * PUSH_CREDIT_SECONDS;
+        let count = self
+            .affordable_datagrams(credit_bytes)
+            .min(self.uninitialized.len());
+        // `partial_shuffle` moves the drawn peers to the end.
+        let (drawn, left) = self.uninitialized.partial_shuffle(random, count);
         let (drawn, left) = (drawn.to_vec(), left.len());
-        self.newcomers.truncate(left);
-        for newcomer in &drawn {
-            if let Some(peer) = self.peers.get_mut(newcomer) {
-                peer.welcomes.note(self.last_tick);
+        self.uninitialized.truncate(left);
+        for address in &drawn {
+            if let Some(peer) = self.peers.get_mut(address) {
+                peer.bootstrap_pushes.record(self.last_tick);
             }
         }
         drawn
     }
 
-    /// A router that lacks a source waits to be told. One that was told may not have heard it, or may be
-    /// unable to learn.
-    pub(super) fn note_newcomer(&mut self, news: &PeerGossip, welcomes: Welcomes, now: Time) {
-        if knows_both(news.configuration, news.directory) {
-            self.newcomers.retain(|one| *one != news.from);
+    /// Queues the sender of gossip for a bootstrap push if it is uninitialized, else removes it
+    /// from the queue. A push may have been lost, or the peer may be unable to use it, hence the
+    /// backoff.
+    pub(super) fn note_uninitialized(
+        &mut self,
+        gossip: &PeerGossip,
+        pushes: BootstrapPushes,
+        now: Time,
+    ) {
+        if is_initialized(gossip.configuration, gossip.directory) {
+            self.uninitialized.retain(|address| *address != gossip.from);
             return;
         }
-        let waits = self.newcomers.contains(&news.from);
-        let is_full = self.newcomers.len() >= MAXIMUM_NEWCOMERS;
-        if !waits && !is_full && welcomes.is_due(now) {
-            self.newcomers.push(news.from);
+        let is_waiting = self.uninitialized.contains(&gossip.from);
+        let is_full = self.uninitialized.len() >= MAX_WAITING_PEERS;
+        if !is_waiting && !is_full && pushes.is_due(now) {
+            self.uninitialized.push(gossip.from);
         }
     }
 }
--- a/crates/stacktack-core/src/direct/peers/mod.rs
+++ b/crates/stacktack-core/src/direct/peers/mod.rs
@@ -1,13 +1,13 @@
-//! News between direct routers, within a byte budget.
+//! Gossip between direct routers, within a byte budget.
 //!
-//! Each router hands on the loads that back ends told, to itself or to others,
-//! newest first: a datagram carries the view of the whole fleet, so that the age
-//! of a load grows with the logarithm of the number of routers and not with the
-//! time that one router needs to tell all others. Beside it stand what the router
-//! itself has in flight at back ends that told nothing of late, where prompt parts
-//! were last read, and how new its beliefs are. Whoever sees that a peer knows
-//! more fetches it from there. Nothing here has to arrive: a lost datagram only
-//! makes a belief a little older.
+//! Each router relays the loads that back ends reported to itself or to other routers,
+//! newest first. A datagram thus carries a view of the whole fleet, and the age of a
+//! load grows with the logarithm of the number of routers instead of the time that one
+//! router needs to reach all others. A datagram also holds the requests that the sender
+//! has in flight at back ends without a recent load report, the back ends that last read
+//! prompt parts, and the revisions that the sender knows. A router that sees a newer
+//! revision at a peer fetches it from there. Datagrams may get lost: the receiver's
+//! state is then slightly older.
 
 mod bootstrap;
 pub mod peer_gossip;
@@ -22,106 +22,108 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngExt};
 
-use crate::direct::peers::bootstrap::{knows_both, Welcomes};
+use crate::direct::peers::bootstrap::{is_initialized, BootstrapPushes};
 use crate::direct::peers::peer_gossip::{OwnGossip, PeerGossip, ShortId, ZoneHash};
 use crate::time::Time;
 
-/// Time after which a peer that is not heard counts as gone, at least ...
-const SILENT_AFTER: Duration = Duration::from_millis(2500);
+/// Minimum time without a datagram after which a peer is no longer live.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// ... and in rounds, in a fleet so large that the budget makes rounds long.
-const SILENT_ROUNDS: f64 = 3.0;
+/// Minimum silence timeout in gossip rounds. It applies to fleets so large that the byte budget
+/// makes rounds long.
+const MIN_SILENCE_ROUNDS: f64 = 3.0;
 
-/// Longest round in which routers tell each other all that they have in flight.
-const QUICK_ROUND: Duration = Duration::from_millis(700);
+/// Maximum length of a round in which routers gossip all their requests in flight.
+const MAX_SHORT_ROUND: Duration = Duration::from_millis(700);
 
-/// Bytes of a datagram with all that a router has in flight, for that decision.
-const QUICK_DATAGRAM_BYTES: f64 = 200.0;
+/// Assumed bytes of a datagram with all requests in flight from a router, to estimate the length
+/// of a round.
+const SHORT_ROUND_DATAGRAM_BYTES: f64 = 200.0;
 
-/// Time for which the largest number of routers seen is remembered.
-const REMEMBER_COUNT: Duration = Duration::from_secs(60);
+/// Time for which the peak number of live peers is remembered.
+const PEAK_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time for which an address that is not heard is still told news; seeds are
-/// told for ever.
-const KEEP_ADDRESS: Duration = Duration::from_secs(30);
+/// Minimum time for which a silent address still receives gossip. Seeds always do.
+const MIN_ADDRESS_RETENTION: Duration = Duration::from_secs(30);
 
-/// Routers that are assumed to be there until more are heard.
-const LEAST_ROUTERS: usize = 4;
+/// Minimum number of routers that a fleet is assumed to have.
+const MIN_ROUTERS: usize = 4;
 
-/// Entries of own loads in one datagram.
-const LOADS_PER_DATAGRAM: usize = 48;
+/// Maximum number of back ends whose requests in flight are in one datagram.
+const MAX_IN_FLIGHT_PER_DATAGRAM: usize = 48;
 
-/// Places in one datagram. Each takes as many bytes as two loads.
-const PLACES_PER_DATAGRAM: usize = 8;
+/// Maximum number of prefix locations in one datagram. Each takes as many bytes as two loads.
+const MAX_PREFIX_LOCATIONS_PER_DATAGRAM: usize = 8;
 
-/// Places that wait to be told.
-const WAITING_PLACES: usize = 512;
+/// Maximum number of prefix locations that wait to be sent.
+const MAX_QUEUED_PREFIX_LOCATIONS: usize = 512;
 
-/// Addresses of other routers in one datagram.
-const ADDRESSES_PER_DATAGRAM: usize = 1;
+/// Maximum number of router addresses in one datagram.
+const MAX_ADDRESSES_PER_DATAGRAM: usize = 1;
 
-/// The same while new addresses are still heard of.
-const ADDRESSES_WHILE_LEARNING: usize = 12;
+/// Maximum number of router addresses in one datagram during [`DISCOVERY_PERIOD`].
+const MAX_ADDRESSES_DURING_DISCOVERY: usize = 12;
 
-/// Time after a new address for which more may come.
-const LEARNING: Duration = Duration::from_secs(3);
+/// Time after a new address in which further new addresses are expected.
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time without a new address after which the others are taken to be known. Of 4 to 200
-/// routers that start together, those that took the fleet for known so knew nine of ten, but
-/// for the three seeds (`tests/peers.rs`).
-const KNOWN_AFTER: Duration = Duration::from_secs(2);
+/// Time without a new address after which the fleet counts as known. When 4 to 200 routers start
+/// together, each that considers its fleet known by this rule knows at least nine of ten routers,
+/// except for the three seeds.
+const DISCOVERY_COMPLETE_AFTER: Duration = Duration::from_secs(2);
 
-/// Time between two looks for peers that are not heard any more.
-const FORGET_EVERY: Duration = Duration::from_millis(400);
+/// Minimum time between two removals of silent peers and addresses.
+const MIN_CLEANUP_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time for which it is remembered that a peer stopped serving.
-const STOP_REMEMBERED: Duration = Duration::from_secs(12);
+const STOP_RETENTION: Duration = Duration::from_secs(12);
 
-/// Places in the round that routers begin at, so that they do not all tell the
-/// same one at the same time.
-const SPREAD: usize = 64;
+/// Number of positions in the address list at which routers start their rounds, so that they do
+/// not all send to the same router at the same time.
+const START_POSITIONS: usize = 64;
 
-/// Routers that a router pushes news to at once. Each of them pushes it on when it is news there: 94
-/// of 100 routers know it after as many steps as the logarithm of their number, the others hear it with
-/// the next datagrams of the rest.
-const PUSHED_TO: usize = 3;
+/// Number of routers that a router pushes changes to at once. Each of them pushes a change on if it
+/// is new there: 94 of 100 routers receive it within a number of hops that is logarithmic in the
+/// number of routers, the others with the next regular datagrams.
+const PUSH_FANOUT: usize = 3;
 
-/// Age up to which what a peer tells of its source counts: three others or more are heard meanwhile, however
-/// large the fleet is.
-const STATE_AGE: Duration = Duration::from_millis(500);
+/// Maximum age of a peer's report that the directory is steady. A router hears three or more peers
+/// in this time, however large the fleet is.
+const MAX_STATE_AGE: Duration = Duration::from_millis(500);
 
-/// Largest datagram, in bytes.
+/// Maximum payload of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// Bytes of the headers around a datagram.
+/// Bytes of the IP and UDP headers of a datagram.
 const HEADER_BYTES: f64 = 28.0;
 
-/// Bytes that may be saved up, in seconds of the budget.
-const BURST_SECONDS: f64 = 1.0;
+/// Maximum number of bytes that can be saved up, in seconds of the byte budget.
+const MAX_BURST_SECONDS: f64 = 1.0;
 
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u32,
     zone: ZoneHash,
-    heard: Time,
+    last_heard: Time,
     configuration: u64,
     directory: u64,
     directory_steady: bool,
     serving: bool,
     in_flight: Vec<(ShortId, u16)>,
-    welcomes: Welcomes,
+    bootstrap_pushes: BootstrapPushes,
 }
 
-/// A datagram to send.
+/// Gossip to send to one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// To whom.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// What.
+    /// Content of the datagram.
     pub gossip: PeerGossip,
 }
 
-/// The other routers as far as known.
+/// Known addresses of other routers, the latest gossip of each live one, and the byte budget for
+/// gossip to them.
 #[derive(Debug)]
 pub struct Peers {
     own: SocketAddr,
@@ -132,30 +134,32 @@
     last_tick: Time,
     datagram_bytes: f64,
     seeds: Vec<SocketAddr>,
-    /// Addresses to tell news to: peers, seeds, and those lately learned.
+    /// Addresses that receive gossip: live peers, seeds, and addresses seen recently.
     addresses: Vec<SocketAddr>,
-    /// When an address was last heard or first learned.
-    heard_or_learned: HashMap<SocketAddr, Time>,
-    /// When an address was last heard of for the first time.
-    learned: Time,
+    /// When an address was last heard from or first learned.
+    last_seen: HashMap<SocketAddr, Time>,
+    /// When the latest new address was learned.
+    last_discovery: Time,
     peers: HashMap<SocketAddr, Peer>,
-    places: VecDeque<(u64, ShortId)>,
-    /// Datagrams that carried the first places that wait; they go once to as
-    /// many as there are addresses.
-    batch_told_to: usize,
-    /// Next address to send to.
-    turn: usize,
-    peak: (usize, Time),
-    /// Peers that know nothing yet, to be told at once.
-    newcomers: Vec<SocketAddr>,
-    /// When peers and addresses that are not heard were last dropped.
-    forgot: Time,
-    /// When peers that served said that they do not any more.
+    prefix_locations: VecDeque<(u64, ShortId)>,
+    /// Datagrams that carried the first queued prefix locations. These leave the queue once there
+    /// were as many datagrams as addresses.
+    batch_datagrams: usize,
+    /// Index in `addresses` that the latest regular datagram went to; at first a start position
+    /// that differs between routers.
+    cursor: usize,
+    /// Peak number of live peers, and when it was last reached.
+    peak_live: (usize, Time),
+    /// Peers without a configuration or directory that wait for a bootstrap push.
+    uninitialized: Vec<SocketAddr>,
+    /// When silent peers and addresses were last removed.
+    last_cleanup: Time,
+    /// When peers that had been serving reported that they no longer are.
     stopped: HashMap<SocketAddr, Time>,
 }
 
 impl Peers {
-    /// Nobody is known but the seeds.
+    /// Creates a state in which only the seeds are known.
     pub fn new(
         own: SocketAddr,
         zone: ZoneHash,
@@ -169,88 +173,94 @@
             zone,
             incarnation,
             bytes_per_second,
-            saved_bytes: bytes_per_second * BURST_SECONDS,
+            saved_bytes: bytes_per_second * MAX_BURST_SECONDS,
             last_tick: now,
             datagram_bytes: 200.0,
             seeds: Vec::new(),
             addresses: Vec::new(),
-            heard_or_learned: HashMap::new(),
-            learned: now,
+            last_seen: HashMap::new(),
+            last_discovery: now,
             peers: HashMap::new(),
-            places: VecDeque::new(),
-            batch_told_to: 0,
-            turn: incarnation as usize % SPREAD,
-            peak: (0, now),
-            newcomers: Vec::new(),
-            forgot: now,
+            prefix_locations: VecDeque::new(),
+            batch_datagrams: 0,
+            cursor: incarnation as usize % START_POSITIONS,
+            peak_live: (0, now),
+            uninitialized: Vec::new(),
+            last_cleanup: now,
             stopped: HashMap::new(),
         };
         peers.set_seeds(seeds);
         peers
     }
 
-    /// Drawn anew at each start of this router.
+    /// Random number that this router draws at each start.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Addresses to try beside those known.
+    /// Replaces the seeds: configured addresses that always receive gossip.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
         self.add_addresses(seeds);
     }
 
-    /// Takes addresses of other routers.
+    /// Adds addresses of other routers.
     pub fn add_addresses(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
-            if *address != self.own && !self.heard_or_learned.contains_key(address) {
+            if *address != self.own && !self.last_seen.contains_key(address) {
                 self.addresses.push(*address);
-                self.heard_or_learned.insert(*address, self.last_tick);
-                self.learned = self.last_tick;
+                self.last_seen.insert(*address, self.last_tick);
+                self.last_discovery = self.last_tick;
             }
         }
     }
 
-    /// A prompt part was read by a back end: worth telling.
+    /// Queues for gossip that a back end read a prompt part. A full queue drops its oldest entry.
     pub fn announce_prefix_location(&mut self, part: u64, back_end: ShortId) {
-        if self.places.len() >= WAITING_PLACES {
-            self.places.pop_front();
+        if self.prefix_locations.len() >= MAX_QUEUED_PREFIX_LOCATIONS {
+            self.prefix_locations.pop_front();
         }
-        self.places.push_back((part, back_end));
+        self.prefix_locations.push_back((part, back_end));
     }
 
-    /// Datagrams to send now, within the budget. Every known address gets its
-    /// turn; how many get one at a time follows from the budget.
+    /// Returns the datagrams to send now. All known addresses take turns; the byte budget
+    /// determines how many datagrams there are at a time.
     pub fn tick(&mut self, own: &OwnGossip, now: Time) -> Vec<OutgoingDatagram> {
-        self.forget(now);
+        self.remove_silent(now);
         let elapsed = now.since(self.last_tick).as_secs_f64();
         self.last_tick = now;
-        let most = self.bytes_per_second * BURST_SECONDS;
-        self.saved_bytes = (self.saved_bytes + elapsed * self.bytes_per_second).min(most);
+        let max_saved = self.bytes_per_second * MAX_BURST_SECONDS;
+        self.saved_bytes = (self.saved_bytes + elapsed * self.bytes_per_second).min(max_saved);
         let mut outgoing = Vec::new();
         if self.addresses.is_empty() {
             return outgoing;
         }
-        let count = self.affordable(0.0).min(self.addresses.len());
-        let told = self.places.len().min(PLACES_PER_DATAGRAM);
-        let places: Vec<(u64, ShortId)> = self.places.iter().take(told).copied().collect();
+        let count = self.affordable_datagrams(0.0).min(self.addresses.len());
+        let sent = self
+            .prefix_locations
+            .len()
+            .min(MAX_PREFIX_LOCATIONS_PER_DATAGRAM);
+        let prefix_locations: Vec<(u64, ShortId)> =
+            self.prefix_locations.iter().take(sent).copied().collect();
         for _ in 0..count {
-            self.turn = (self.turn + self.step()) % self.addresses.len();
+            self.cursor = (self.cursor + self.stride()) % self.addresses.len();
             outgoing.push(OutgoingDatagram {
-                to: self.addresses[self.turn],
-                gossip: self.gossip(own, places.clone(), self.turn + 1),
+                to: self.addresses[self.cursor],
+                gossip: self.gossip(own, prefix_locations.clone(), self.cursor + 1),
             });
         }
-        self.batch_told_to += count;
-        if self.batch_told_to >= self.addresses.len() {
-            self.places.drain(..told);
-            self.batch_told_to = 0;
+        self.batch_datagrams += count;
+        if self.batch_datagrams >= self.addresses.len() {
+            self.prefix_locations.drain(..sent);
+            self.batch_datagrams = 0;
         }
         outgoing
     }
 
-    /// Datagrams to send at once: what is new here goes to a few others (`spread`), and what is
-    /// known of both sources to newcomers, as far as the budget goes. They leave out what has time.
+    /// Returns datagrams to send outside the regular rounds: to a few random addresses if `spread`
+    /// (something changed here), and to uninitialized peers if this router knows both sources, as
+    /// far as the byte budget and a credit go. They leave out reported loads, suspects and prefix
+    /// locations, which can wait for the regular rounds.
     pub fn push(
         &mut self,
         own: &OwnGossip,
@@ -264,51 +274,58 @@
         };
         let mut outgoing = Vec::new();
         if spread {
-            let to = self.addresses.sample(random, PUSHED_TO);
-            outgoing.extend(to.map(|to| self.to_push(*to, &own, self.turn + 1)));
+            let to = self.addresses.sample(random, PUSH_FANOUT);
+            outgoing.extend(to.map(|to| self.push_datagram(*to, &own, self.cursor + 1)));
         }
-        if knows_both(own.configuration, own.directory) {
-            for newcomer in self.welcome(random) {
-                // Drawn: whoever is told tells others.
+        if is_initialized(own.configuration, own.directory) {
+            for peer in self.take_uninitialized(random) {
+                // The addresses start at a random index, since the receiver gossips to them in
+                // turn.
                 let first = random.random_range(0..self.addresses.len());
-                outgoing.push(self.to_push(newcomer, &own, first));
+                outgoing.push(self.push_datagram(peer, &own, first));
             }
         }
         outgoing
     }
 
-    fn to_push(&self, to: SocketAddr, own: &OwnGossip, first: usize) -> OutgoingDatagram {
+    fn push_datagram(&self, to: SocketAddr, own: &OwnGossip, first: usize) -> OutgoingDatagram {
         let gossip = self.gossip(own, Vec::new(), first);
         OutgoingDatagram { to, gossip }
     }
 
-    /// Datagrams that the bytes saved, and so many more, are enough for.
-    fn affordable(&self, more: f64) -> usize {
-        ((self.saved_bytes + more) / self.datagram_bytes).max(0.0) as usize
+    /// Number of datagrams that the saved bytes and a credit of bytes pay for.
+    fn affordable_datagrams(&self, credit_bytes: f64) -> usize {
+        ((self.saved_bytes + credit_bytes) / self.datagram_bytes).max(0.0) as usize
     }
 
-    /// Steps from one address to the next to tell, so that each gets its turn: of its own
-    /// for each router. Routers that all told the next one handed news on along a line:
-    /// from one to all of 23 routers it took 1.4 to 2.3 s in place of 0.9 to 1.5, to all of
-    /// 103 more than 4 s in place of 2.2 (virtual time, 5 datagrams a second each).
-    fn step(&self) -> usize {
+    /// Stride through the address list. It is coprime to the length of the list, so that every
+    /// address gets its turn, and differs between routers. With a stride of 1 in all routers,
+    /// gossip travelled along a line: to reach all of 23 routers it took 1.4 to 2.3 s instead of
+    /// 0.9 to 1.5 s, and all of 103 routers more than 4 s instead of 2.2 s, at 5 datagrams a
+    /// second from each router.
+    fn stride(&self) -> usize {
         let count = self.addresses.len();
-        let wanted = 1 + self.incarnation as usize / SPREAD % count;
-        (wanted..)
-            .find(|step| greatest_common_divisor(*step, count) == 1)
+        let min_stride = 1 + self.incarnation as usize / START_POSITIONS % count;
+        (min_stride..)
+            .find(|stride| greatest_common_divisor(*stride, count) == 1)
             .unwrap_or(1)
     }
 
-    /// News with some of the addresses from this one on.
-    fn gossip(&self, own: &OwnGossip, places: Vec<(u64, ShortId)>, first: usize) -> PeerGossip {
+    /// Builds a datagram with some live addresses, starting at index `first`.
+    fn gossip(
+        &self,
+        own: &OwnGossip,
+        prefix_locations: Vec<(u64, ShortId)>,
+        first: usize,
+    ) -> PeerGossip {
         let mut in_flight = own.in_flight.clone();
-        in_flight.truncate(LOADS_PER_DATAGRAM);
-        let most = if self.last_tick.since(self.learned) < LEARNING {
-            ADDRESSES_WHILE_LEARNING
+        in_flight.truncate(MAX_IN_FLIGHT_PER_DATAGRAM);
+        let max_addresses = if self.last_tick.since(self.last_discovery) < DISCOVERY_PERIOD {
+            MAX_ADDRESSES_DURING_DISCOVERY
         } else {
-            ADDRESSES_PER_DATAGRAM
+            MAX_ADDRESSES_PER_DATAGRAM
         };
-        let routers = (0..self.addresses.len().min(most))
+        let routers = (0..self.addresses.len().min(max_addresses))
             .map(|step| self.addresses[(first + step) % self.addresses.len()])
             .filter(|address| self.peers.contains_key(address))
             .collect();
@@ -322,170 +339,175 @@
             serving: own.serving,
             in_flight,
             reported_loads: own.reported_loads.clone(),
-            prefix_locations: places,
+            prefix_locations,
             suspects: own.suspects.clone(),
             routers,
             zone_drains: own.zone_drains.clone(),
         }
     }
 
-    /// A datagram of this many bytes was sent.
+    /// Charges a sent datagram of `bytes` to the byte budget.
     pub fn on_sent(&mut self, bytes: usize) {
-        let whole = bytes as f64 + HEADER_BYTES;
-        self.saved_bytes -= whole;
-        self.datagram_bytes += 0.1 * (whole - self.datagram_bytes);
+        let total_bytes = bytes as f64 + HEADER_BYTES;
+        self.saved_bytes -= total_bytes;
+        self.datagram_bytes += 0.1 * (total_bytes - self.datagram_bytes);
     }
 
-    /// Takes a peer's news. Returns whether the sender is new here.
-    pub fn receive(&mut self, news: &PeerGossip, now: Time) -> bool {
-        if news.from == self.own {
+    /// Applies a peer's gossip. Returns whether the sender is new here or has restarted.
+    pub fn receive(&mut self, gossip: &PeerGossip, now: Time) -> bool {
+        if gossip.from == self.own {
             return false;
         }
-        let known = self.peers.get(&news.from);
-        let joined = known.is_none_or(|known| known.incarnation != news.incarnation);
-        let welcomes = known.filter(|_| !joined).map(|known| known.welcomes);
-        let welcomes = welcomes.unwrap_or_default();
-        self.note_newcomer(news, welcomes, now);
-        self.note_serving(news, now);
+        let known = self.peers.get(&gossip.from);
+        let joined = known.is_none_or(|known| known.incarnation != gossip.incarnation);
+        let bootstrap_pushes = known
+            .filter(|_| !joined)
+            .map(|known| known.bootstrap_pushes);
+        let bootstrap_pushes = bootstrap_pushes.unwrap_or_default();
+        self.note_uninitialized(gossip, bootstrap_pushes, now);
+        self.note_serving(gossip, now);
         self.peers.insert(
-            news.from,
+            gossip.from,
             Peer {
-                incarnation: news.incarnation,
-                zone: news.zone,
-                heard: now,
-                configuration: news.configuration,
-                directory: news.directory,
-                directory_steady: news.directory_steady,
-                serving: news.serving,
-                in_flight: news.in_flight.clone(),
-                welcomes,
+                incarnation: gossip.incarnation,
+                zone: gossip.zone,
+                last_heard: now,
+                configuration: gossip.configuration,
+                directory: gossip.directory,
+                directory_steady: gossip.directory_steady,
+                serving: gossip.serving,
+                in_flight: gossip.in_flight.clone(),
+                bootstrap_pushes,
             },
         );
-        self.add_addresses(&news.routers);
-        self.add_addresses(&[news.from]);
-        self.heard_or_learned.insert(news.from, now);
-        if self.peers.len() >= self.peak.0 {
-            self.peak = (self.peers.len(), now);
+        self.add_addresses(&gossip.routers);
+        self.add_addresses(&[gossip.from]);
+        self.last_seen.insert(gossip.from, now);
+        if self.peers.len() >= self.peak_live.0 {
+            self.peak_live = (self.peers.len(), now);
         }
         joined
     }
 
-    fn note_serving(&mut self, news: &PeerGossip, now: Time) {
-        if news.serving {
-            self.stopped.remove(&news.from);
+    fn note_serving(&mut self, gossip: &PeerGossip, now: Time) {
+        if gossip.serving {
+            self.stopped.remove(&gossip.from);
         } else if self
             .peers
-            .get(&news.from)
+            .get(&gossip.from)
             .is_some_and(|known| known.serving)
         {
-            self.stopped.insert(news.from, now);
+            self.stopped.insert(gossip.from, now);
         }
     }
 
-    /// Time in which each known address is told once.
+    /// Time in which each known address gets one datagram.
     fn round(&self) -> Duration {
         let bytes = self.addresses.len() as f64 * self.datagram_bytes;
         Duration::from_secs_f64(bytes / self.bytes_per_second)
     }
 
-    /// Whether so few routers are known that what each counts itself is new to all
-    /// the others.
+    /// Whether so few routers are known that gossip of the requests in flight reaches all of them
+    /// while it is still fresh.
     pub fn has_short_round(&self) -> bool {
-        let bytes = self.addresses.len() as f64 * QUICK_DATAGRAM_BYTES;
-        bytes / self.bytes_per_second < QUICK_ROUND.as_secs_f64()
+        let bytes = self.addresses.len() as f64 * SHORT_ROUND_DATAGRAM_BYTES;
+        bytes / self.bytes_per_second < MAX_SHORT_ROUND.as_secs_f64()
     }
 
-    fn forget(&mut self, now: Time) {
-        if now.since(self.forgot) < FORGET_EVERY {
+    fn remove_silent(&mut self, now: Time) {
+        if now.since(self.last_cleanup) < MIN_CLEANUP_INTERVAL {
             return;
         }
-        self.forgot = now;
-        let patience = SILENT_AFTER.max(self.round().mul_f64(SILENT_ROUNDS));
+        self.last_cleanup = now;
+        let silence_timeout = MIN_SILENCE_TIMEOUT.max(self.round().mul_f64(MIN_SILENCE_ROUNDS));
         self.peers
-            .retain(|_, peer| now.since(peer.heard) < patience);
+            .retain(|_, peer| now.since(peer.last_heard) < silence_timeout);
         let peers = &self.peers;
-        self.newcomers.retain(|one| peers.contains_key(one));
-        let (seeds, known) = (&self.seeds, &self.heard_or_learned);
-        let keep = patience.max(KEEP_ADDRESS);
+        self.uninitialized
+            .retain(|address| peers.contains_key(address));
+        let (seeds, last_seen) = (&self.seeds, &self.last_seen);
+        let retention = silence_timeout.max(MIN_ADDRESS_RETENTION);
         self.addresses.retain(|address| {
-            let fresh = known.get(address).is_some_and(|at| now.since(*at) < keep);
-            fresh || seeds.contains(address)
+            let is_recent = last_seen
+                .get(address)
+                .is_some_and(|at| now.since(*at) < retention);
+            is_recent || seeds.contains(address)
         });
-        self.heard_or_learned
-            .retain(|address, at| now.since(*at) < keep || seeds.contains(address));
-        self.stopped
-            .retain(|_, at| now.since(*at) < STOP_REMEMBERED);
-        if now.since(self.peak.1) > REMEMBER_COUNT {
-            self.peak = (self.peers.len(), now);
+        self.last_seen
+            .retain(|address, at| now.since(*at) < retention || seeds.contains(address));
+        self.stopped.retain(|_, at| now.since(*at) < STOP_RETENTION);
+        if now.since(self.peak_live.1) > PEAK_RETENTION {
+            self.peak_live = (self.peers.len(), now);
         }
     }
 
-    /// Routers that may be sharing what the store bears, this one with them: an estimate,
-    /// fit for costs and for no bound that has to hold over the fleet. Peers that fell
-    /// silent still count for a while: they may be cut off and go on.
+    /// Estimated number of routers that share the capacity of the store, this one included. It is
+    /// suitable for dividing costs, not for limits that have to hold across the fleet. Peers that
+    /// fell silent still count for a while: they may be partitioned and still running.
     pub fn active_routers(&self) -> usize {
-        (self.peak.0 + 1).max(LEAST_ROUTERS)
+        (self.peak_live.0 + 1).max(MIN_ROUTERS)
     }
 
-    /// Routers that are known, heard or not yet, this one with them: an estimate as
-    /// [`Self::active_routers`] is. 103 routers that all start at once know of each other within seconds, long
-    /// before they hear each other: they ask the store 19 in place of 32 times a second
-    /// meanwhile (virtual time).
+    /// Estimated number of routers like [`Self::active_routers`], but including those that this one
+    /// has not heard from yet. 103 routers that start at once know each other's addresses within
+    /// seconds, long before they hear each other: with these addresses counted, they read the
+    /// store 19 instead of 32 times a second in that time.
     pub fn known_routers(&self) -> usize {
         self.active_routers().max(self.addresses.len() + 1)
     }
 
-    /// Whether the other routers are likely to be known: no new one was heard of for a while.
+    /// Whether most other routers are likely to be known: no new address was learned recently.
     pub fn is_discovery_complete(&self, now: Time) -> bool {
-        now.since(self.learned) >= KNOWN_AFTER
+        now.since(self.last_discovery) >= DISCOVERY_COMPLETE_AFTER
     }
 
-    /// Addresses of all routers that are known, this one not among them. Peers that fell
-    /// silent stay for half a minute.
+    /// Addresses of all known routers but this one. Peers that fell silent stay for half a minute
+    /// or longer.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Peers that were heard lately.
+    /// Number of live peers.
     pub fn live_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether fewer than half of the peers known lately are heard: what the others know does
-    /// not come from them.
+    /// Whether fewer than half of the recent peak number of peers are live. Gossip then does not
+    /// bring what the silent ones know.
     pub fn lost_most_peers(&self) -> bool {
-        self.peers.len() * 2 < self.peak.0
+        self.peers.len() * 2 < self.peak_live.0
     }
 
-    /// Whether some peer takes callers, as far as known.
+    /// Whether any live peer reports that it takes requests.
     pub fn any_serving(&self) -> bool {
         self.peers.values().any(|peer| peer.serving)
     }
 
-    /// When the first of the peers that do not serve said so: it is likely to be the first that is back.
+    /// When the first of the peers that stopped serving reported it. That peer is likely to be the
+    /// first one back.
     pub fn first_stopped(&self) -> Option<Time> {
         self.stopped.values().min().copied()
     }
 
-    /// Requests in flight from the peers, by back end.
+    /// Requests in flight from all live peers, by back end.
     pub fn in_flight(&self) -> HashMap<ShortId, u32> {
         let mut sums = HashMap::new();
-        for (id, load) in self.peers.values().flat_map(|peer| &peer.in_flight) {
-            *sums.entry(*id).or_insert(0) += u32::from(*load);
+        for (id, requests) in self.peers.values().flat_map(|peer| &peer.in_flight) {
+            *sums.entry(*id).or_insert(0) += u32::from(*requests);
         }
         sums
     }
 
-    /// Whether some peer told a moment ago that the directory answers steadily.
+    /// Whether any peer reported within `MAX_STATE_AGE` that the directory answers steadily.
     pub fn any_directory_steady(&self, now: Time) -> bool {
         self.directory_steady_count(now) > 0
     }
 
-    /// Peers that told a moment ago that the directory answers steadily.
+    /// Number of peers that reported within `MAX_STATE_AGE` that the directory answers steadily.
     pub fn directory_steady_count(&self, now: Time) -> usize {
-        let told_lately = |peer: &&Peer| now.since(peer.heard) < STATE_AGE;
-        let told = self.peers.values().filter(told_lately);
-        told.filter(|peer| peer.directory_steady).count()
+        let is_recent = |peer: &&Peer| now.since(peer.last_heard) < MAX_STATE_AGE;
+        let recent = self.peers.values().filter(is_recent);
+        recent.filter(|peer| peer.directory_steady).count()
     }
 }
 
--- a/crates/stacktack-core/src/direct/peers/peer_gossip.rs
+++ b/crates/stacktack-core/src/direct/peers/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other in a datagram.
+//! Content of the gossip datagrams between routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,39 +9,41 @@
 use crate::direct::back_ends::zone_drain::ZoneDrain;
 use crate::time::Time;
 
-/// Told loads in one datagram, the newest first. Of 32 routers before 58 back ends, the known loads were 0.42 s old in the
-/// middle and 1.40 s for 5 in 100 with 16, 0.40 s and 1.42 s with 14, 0.39 s and 1.62 s with 10.
+/// Maximum number of reported loads in one datagram, the newest first. With 32 routers and 58 back
+/// ends, the median and 95th percentile age of the known loads were 0.42 s and 1.40 s with 16
+/// loads, 0.40 s and 1.42 s with 14, 0.39 s and 1.62 s with 10.
 pub const MAX_REPORTED_LOADS_PER_DATAGRAM: usize = 14;
 
-/// Unit of a told load's age on the wire.
+/// Unit of the age of a reported load on the wire.
 const AGE_UNIT: Duration = Duration::from_millis(20);
 
-/// Short form of a back end's id on the wire. Of 1,000 back ends two have the same
-/// one with a probability of 3 in 100; their loads are mixed up then.
+/// Short form of a back end's id on the wire. With 1,000 back ends, two of them share one with a
+/// probability of 3 in 100; their loads are then mixed up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShortId(pub [u8; 3]);
 
 impl ShortId {
-    /// From the hash of the whole id.
+    /// Short form of the id with this hash.
     pub fn of(id_hash: u64) -> Self {
         let [first, second, third, ..] = id_hash.to_le_bytes();
         ShortId([first, second, third])
     }
 }
 
-/// A load that a back end told, as routers hand it on.
+/// A load that a back end reported, as routers relay it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadGossip {
-    /// The back end.
+    /// Back end that reported the load.
     pub back_end: ShortId,
-    /// Requests that it ran and held, from all routers.
+    /// Requests that the back end was running or holding, from all routers.
     pub requests: u16,
-    /// Time since it told that, in units of [`AGE_UNIT`].
+    /// Time since the report, in units of [`AGE_UNIT`], rounded down.
     age: u8,
 }
 
 impl LoadGossip {
-    /// A load that was told at a time; `None` when that is too long ago.
+    /// Encodes a load that was reported at `reported_at`; `None` if its age exceeds the wire format
+    /// (5.12 s or more).
     pub fn new(back_end: ShortId, requests: u32, reported_at: Time, now: Time) -> Option<Self> {
         let age = now.since(reported_at).as_millis() / AGE_UNIT.as_millis();
         Some(LoadGossip {
@@ -51,12 +53,12 @@
         })
     }
 
-    /// When the back end told it, for a datagram that arrived now.
+    /// When the back end reported the load, if the datagram arrived at `now`.
     pub fn reported_at(&self, now: Time) -> Time {
         now - AGE_UNIT * u32::from(self.age)
     }
 
-    /// Time since the back end told it, when the datagram was sent.
+    /// Time since the report, as of the sending of the datagram.
     pub fn age(&self) -> Duration {
         AGE_UNIT * u32::from(self.age)
     }
@@ -67,61 +69,62 @@
 pub struct ZoneHash(u16);
 
 impl ZoneHash {
-    /// From a zone's name.
+    /// Short form of this zone name.
     pub fn of(zone: &str) -> Self {
         ZoneHash(xxh3_64(zone.as_bytes()) as u16)
     }
 }
 
-/// What one router tells another.
+/// State that one router gossips to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerGossip {
-    /// The sender's address for news.
+    /// Address of the sender for gossip.
     pub from: SocketAddr,
-    /// Drawn anew at each start of the sender.
+    /// Random number that the sender draws at each start.
     pub incarnation: u32,
-    /// Where the sender stands.
+    /// Zone of the sender.
     pub zone: ZoneHash,
     /// Version of the configuration in force; 0 for none.
     pub configuration: u64,
     /// Revision up to which the sender knows the directory; 0 for none.
     pub directory: u64,
-    /// Whether the directory answered the sender steadily of late.
+    /// Whether the directory has been answering the sender steadily.
     pub directory_steady: bool,
-    /// Whether the sender takes callers.
+    /// Whether the sender takes requests of callers.
     pub serving: bool,
-    /// Requests in flight from the sender at back ends that told no load of late;
-    /// absent ones have none.
+    /// Requests in flight from the sender, at all back ends while a gossip round is short, else at
+    /// those without a recent load report. Back ends that are absent count as having none.
     pub in_flight: Vec<(ShortId, u16)>,
-    /// Loads that back ends told somebody of late.
+    /// Loads that back ends recently reported to any router.
     pub reported_loads: Vec<LoadGossip>,
-    /// Prompt parts and the back end that read them last.
+    /// Prompt parts, each with the back end that read it last.
     pub prefix_locations: Vec<(u64, ShortId)>,
-    /// Back ends whose failures the sender saw and that it passes by.
+    /// Back ends that the sender avoids because it saw them fail.
     pub suspects: Vec<ShortId>,
-    /// A few other routers.
+    /// Addresses of a few other routers.
     pub routers: Vec<SocketAddr>,
-    /// Zones whose drain was asked for or taken back.
+    /// Zone drains that were requested or cancelled.
     pub zone_drains: Vec<ZoneDrain>,
 }
 
-/// What a router wants to tell at a tick.
+/// State of this router to put into its gossip.
 #[derive(Clone, Debug, Default)]
 pub struct OwnGossip {
     /// Version of the configuration in force.
     pub configuration: u64,
     /// Revision up to which the directory is known.
     pub directory: u64,
-    /// Whether the directory answered steadily of late.
+    /// Whether the directory has been answering steadily.
     pub directory_steady: bool,
-    /// Whether this router takes callers.
+    /// Whether this router takes requests of callers.
     pub serving: bool,
-    /// Requests in flight at back ends that told no load of late.
+    /// Requests in flight, at all back ends while a gossip round is short, else at those without a
+    /// recent load report; the largest counts first.
     pub in_flight: Vec<(ShortId, u16)>,
-    /// Loads that back ends told of late, the newest first.
+    /// Recently reported loads, the newest first.
     pub reported_loads: Vec<LoadGossip>,
     /// Back ends that this router suspects.
     pub suspects: Vec<ShortId>,
-    /// Zones whose drain was asked for or taken back.
+    /// Zone drains that were requested or cancelled.
     pub zone_drains: Vec<ZoneDrain>,
 }
--- a/crates/stacktack-core/src/direct/peers/selection.rs
+++ b/crates/stacktack-core/src/direct/peers/selection.rs
@@ -1,4 +1,4 @@
-//! Which router to ask for what it knows, and where routers stand.
+//! Selection of the peer to fetch state from, and zones of peers.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,37 +9,37 @@
 use crate::direct::peers::{Peer, Peers};
 
 impl Peers {
-    /// Addresses of this router and of the peers that were heard lately. Others are not handed on:
-    /// addresses of routers that are gone would go round for ever.
+    /// Addresses of this router and of its live peers. Other addresses are not passed on, else
+    /// routers would forever exchange addresses of routers that are gone.
     pub fn live_routers(&self) -> Vec<SocketAddr> {
         let own = std::iter::once(self.own);
-        own.chain(self.heard()).collect()
+        own.chain(self.live_addresses()).collect()
     }
 
-    fn heard(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    fn live_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let addresses = self.addresses.iter().copied();
         addresses.filter(|address| self.peers.contains_key(address))
     }
 
-    /// A router to ask for all that it has heard: one that everybody knows from the settings, since
-    /// routers that start tell these first; any other one after that `failed`.
-    pub fn discovery_peer(&self, failed: bool, random: &mut impl Rng) -> Option<SocketAddr> {
+    /// A router to ask for its [`Self::live_routers`]: a seed, since routers that start send gossip
+    /// to the seeds first; any live peer if the previous router `has_failed` to answer.
+    pub fn discovery_peer(&self, has_failed: bool, random: &mut impl Rng) -> Option<SocketAddr> {
         let others = |seed: &&SocketAddr| **seed != self.own;
         let seeds: Vec<SocketAddr> = self.seeds.iter().filter(others).copied().collect();
-        let heard = self.heard().choose(random);
-        if failed && heard.is_some() {
-            return heard;
+        let live = self.live_addresses().choose(random);
+        if has_failed && live.is_some() {
+            return live;
         }
-        seeds.choose(random).copied().or(heard)
+        seeds.choose(random).copied().or(live)
     }
 
-    /// Whether a peer is known to stand in the own zone.
+    /// Whether a live peer with this address is in the zone of this router.
     pub fn is_in_own_zone(&self, address: SocketAddr) -> bool {
         let peer = self.peers.get(&address);
         peer.is_some_and(|peer| peer.zone == self.zone)
     }
 
-    /// The zone of the router at an address, if that is another one than the own.
+    /// Zone of the live peer at an IP address, if it differs from the zone of this router.
     pub fn remote_zone_of(&self, address: IpAddr) -> Option<ZoneHash> {
         let mut peers = self.peers.iter();
         let peer = peers.find(|(peer, _)| peer.ip() == address);
@@ -47,40 +47,36 @@
         zone.filter(|zone| *zone != self.zone)
     }
 
-    /// A peer with a newer configuration than this version; one that is `passed_by` only if there
-    /// is no other one.
+    /// A live peer with a newer configuration than `version`; one in `avoid` only if there is no
+    /// other.
     pub fn with_newer_configuration(
         &self,
         version: u64,
-        passed_by: &[SocketAddr],
+        avoid: &[SocketAddr],
     ) -> Option<SocketAddr> {
-        self.with_newer(version, passed_by, |peer| peer.configuration)
+        self.with_newer(version, avoid, |peer| peer.configuration)
     }
 
-    /// A peer that knows the directory beyond this revision; one that is `passed_by` only if there
-    /// is no other one.
-    pub fn with_newer_directory(
-        &self,
-        revision: u64,
-        passed_by: &[SocketAddr],
-    ) -> Option<SocketAddr> {
-        self.with_newer(revision, passed_by, |peer| peer.directory)
+    /// A live peer with a newer directory than `revision`; one in `avoid` only if there is no
+    /// other.
+    pub fn with_newer_directory(&self, revision: u64, avoid: &[SocketAddr]) -> Option<SocketAddr> {
+        self.with_newer(revision, avoid, |peer| peer.directory)
     }
 
-    /// The peer that knows most beyond `known`; one in the own zone if there is
-    /// any, since bytes between zones are dear.
+    /// The peer with the highest revision above `known`. Peers outside `avoid` come first, then
+    /// peers in the own zone, since traffic between zones is expensive.
     fn with_newer(
         &self,
         known: u64,
-        passed_by: &[SocketAddr],
-        of: impl Fn(&Peer) -> u64,
+        avoid: &[SocketAddr],
+        revision_of: impl Fn(&Peer) -> u64,
     ) -> Option<SocketAddr> {
         self.peers
             .iter()
-            .filter(|(_, peer)| of(peer) > known)
+            .filter(|(_, peer)| revision_of(peer) > known)
             .max_by_key(|(address, peer)| {
-                let answers = !passed_by.contains(address);
-                (answers, peer.zone == self.zone, of(peer))
+                let is_preferred = !avoid.contains(address);
+                (is_preferred, peer.zone == self.zone, revision_of(peer))
             })
             .map(|(address, _)| *address)
     }
--- a/crates/stacktack-core/src/direct/quarantine/digest.rs
+++ b/crates/stacktack-core/src/direct/quarantine/digest.rs
@@ -1,8 +1,8 @@
-//! Which request it is, whoever tries it and however often.
+//! Identity of a request across all its tries.
 //!
-//! Each try has an id of its own; what stays is who asks for what. The digest holds the
-//! caller, so that nobody can make a request of its own count as another caller's, and
-//! it is cryptographic, so that nobody finds two requests with one digest.
+//! Each try has an id of its own, while the caller and the content stay the same. The digest covers
+//! the caller, so that a caller's requests cannot count as those of another one. It is
+//! cryptographic, so that no two requests with the same digest can be found.
 
 use std::fmt::{Display, Formatter};
 use std::str::FromStr;
@@ -11,32 +11,32 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes of a digest: two of 2^32 requests have the same one with a probability of
-/// 1 in 2^33, and to meet a given one takes 2^96 tries.
-const BYTES: usize = 12;
+/// Length of a digest in bytes. Two of 2^32 requests share a digest with a probability of 1 in
+/// 2^33, and matching a given digest takes 2^96 tries.
+const DIGEST_BYTES: usize = 12;
 
-/// What makes two tries the same request.
+/// Caller and content of a request; tries for which these are equal are the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Who asks: the tenant's name, or empty where a route asks for no key.
+    /// Name of the tenant; empty if the route requires no key.
     pub caller: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host.
+    /// Host that the request is for.
     pub host: &'a str,
-    /// Path and query.
+    /// Path and query of the URI.
     pub target: &'a str,
-    /// Body.
+    /// Whole body of the request.
     pub body: &'a [u8],
 }
 
 /// Digest of a [`RequestIdentity`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestDigest([u8; BYTES]);
+pub struct RequestDigest([u8; DIGEST_BYTES]);
 
-/// A text that is no digest.
+/// Error for a text that is not a digest.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("not a digest of {BYTES} bytes in hexadecimal")]
+#[error("not a digest of {DIGEST_BYTES} bytes in hexadecimal")]
 pub struct DigestError;
 
 impl RequestDigest {
@@ -51,17 +51,17 @@
             identity.body,
         ];
         for part in parts {
-            // With its length, so that no byte passes from one part to the next.
+            // The length separates the parts: bytes cannot move from one to the next.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
         let whole = hash.finalize();
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&whole[..BYTES]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&whole[..DIGEST_BYTES]);
         RequestDigest(bytes)
     }
 
-    /// A number of it, for rendezvous hashing.
+    /// First eight bytes as a number, for rendezvous hashing.
     pub fn as_u64(&self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
@@ -81,10 +81,10 @@
     type Err = DigestError;
 
     fn from_str(text: &str) -> Result<Self, DigestError> {
-        if text.len() != 2 * BYTES || !text.is_ascii() {
+        if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
             return Err(DigestError);
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; DIGEST_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| DigestError)?;
--- a/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
+++ b/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
@@ -1,8 +1,9 @@
-//! Runs that broke off, until it is known whether their back end ended.
+//! Interrupted runs, until it is known whether their back end crashed.
 //!
-//! A run that broke off is no end of its back end yet: lost answers, garbled or cut streams
-//! and cut links look the same at first. It counts as one once connections to the back end
-//! are refused, or its entry vanished without a planned end. Until then it is kept here.
+//! An interrupted run does not yet show that its back end crashed: lost answers, garbled or
+//! truncated streams and broken links look the same at first. It counts as a crash once the back
+//! end refuses connections, or once its directory entry vanished without a planned stop. Until
+//! then the run is kept here.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,66 +12,68 @@
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::time::Time;
 
-/// Time for which a broken run waits for what explains it: entries vanish 3.6 s after
-/// the end at deployments, and the store may be late.
-const KEEP: Duration = Duration::from_secs(8);
+/// Time for which an interrupted run waits for its cause, and for which an ended instance is
+/// remembered. After a crash, the directory entry vanishes 3.6 s later in deployments, and the
+/// store may be late.
+const RETENTION: Duration = Duration::from_secs(8);
 
-/// Broken runs of one back end that are kept: more than routers have there at once.
-const MOST_PER_BACK_END: usize = 256;
+/// Maximum number of interrupted runs of one instance that are kept; more than a router has there
+/// at once.
+const MAX_RUNS_PER_INSTANCE: usize = 256;
 
-/// A run that broke off.
+/// A run that broke off before its answer was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InterruptedRun {
-    /// Which request.
+    /// Request that was running.
     pub digest: RequestDigest,
-    /// Id of the try, for logs.
+    /// Id of the caller's try, for logs.
     pub id: String,
-    /// Whether the back end ran it as a suspect, apart from other suspects.
+    /// Whether the request ran on probation, apart from others on probation at its router.
     pub on_probation: bool,
-    /// When it broke off.
+    /// When the run broke off.
     pub at: Time,
 }
 
-/// Broken runs by the life of a back end.
+/// Interrupted runs by back end instance, and the instances that recently ended.
 #[derive(Clone, Debug, Default)]
 pub struct InterruptedRuns {
     waiting: HashMap<LifeId, Vec<InterruptedRun>>,
-    /// Lives that ended, and when that showed.
+    /// Instances that ended, and when that was detected.
     ended: HashMap<LifeId, Time>,
 }
 
 impl InterruptedRuns {
-    /// A run broke off.
-    pub fn add(&mut self, life: LifeId, run: InterruptedRun) {
-        let runs = self.waiting.entry(life).or_default();
-        if runs.len() < MOST_PER_BACK_END {
+    /// Adds an interrupted run of an instance.
+    pub fn add(&mut self, instance: LifeId, run: InterruptedRun) {
+        let runs = self.waiting.entry(instance).or_default();
+        if runs.len() < MAX_RUNS_PER_INSTANCE {
             runs.push(run);
         }
     }
 
-    /// It showed that a life ended. Returns the runs that broke off there.
-    pub fn on_back_end_ended(&mut self, life: LifeId, now: Time) -> Vec<InterruptedRun> {
-        self.ended.insert(life, now);
-        let runs = self.waiting.remove(&life).unwrap_or_default();
-        let fresh = |run: &InterruptedRun| now.since(run.at) < KEEP;
-        runs.into_iter().filter(fresh).collect()
+    /// Records that an instance ended, and returns its recent interrupted runs.
+    pub fn on_back_end_ended(&mut self, instance: LifeId, now: Time) -> Vec<InterruptedRun> {
+        self.ended.insert(instance, now);
+        let runs = self.waiting.remove(&instance).unwrap_or_default();
+        let is_recent = |run: &InterruptedRun| now.since(run.at) < RETENTION;
+        runs.into_iter().filter(is_recent).collect()
     }
 
-    /// Whether a life is known to have ended.
-    pub fn has_ended(&self, life: LifeId) -> bool {
-        self.ended.contains_key(&life)
+    /// Whether an instance is known to have ended.
+    pub fn has_ended(&self, instance: LifeId) -> bool {
+        self.ended.contains_key(&instance)
     }
 
-    /// Whether runs broke off there that nothing explains yet.
-    pub fn has_unexplained(&self, life: LifeId) -> bool {
-        self.waiting.contains_key(&life)
+    /// Whether an instance has interrupted runs whose cause is not known yet.
+    pub fn has_unexplained(&self, instance: LifeId) -> bool {
+        self.waiting.contains_key(&instance)
     }
 
-    /// Forgets what is too old to count.
+    /// Drops runs and ended instances that are older than their retention.
     pub fn expire(&mut self, now: Time) {
-        self.ended.retain(|_, at| now.since(*at) < KEEP);
+        self.ended.retain(|_, at| now.since(*at) < RETENTION);
         self.waiting.retain(|_, runs| {
-            runs.retain(|run| now.since(run.at) < KEEP);
+            runs.retain(|run| now.since(run.at) < RETENTION);
             !runs.is_empty()
         });
     }
--- a/crates/stacktack-core/src/direct/quarantine/mod.rs
+++ b/crates/stacktack-core/src/direct/quarantine/mod.rs
@@ -1,20 +1,22 @@
-//! Requests that end the back ends which run them.
+//! Quarantine of requests that crash the back ends which run them.
 //!
-//! A back end that ends takes all that it was running with it, and each router knows only its
-//! own part of that. Each notes a death for every request of its own that broke there, and tells
-//! the others. From the first death on a request runs on probation where it can, from the second on only so:
-//! at one of two back ends that its digest names, beside no other suspect. One under which three
-//! back ends ended, two of them on probation, with no good run since, is set aside: no router sends it to a back end. The store
-//! keeps that, for routers that start when nobody is left to tell them. One good run clears it.
+//! A back end that crashes interrupts all its runs, and each router knows only its own part of
+//! them. Each router records a crash for each of its own requests that was interrupted there, and
+//! gossips it to the others. After its first crash a request runs on probation where that is
+//! possible, after the second one only on probation: at one of two back ends that its digest
+//! selects, where its router runs no other request on probation. A request under which three back
+//! ends crashed, two of them during probation, without a successful run since, is set aside: no
+//! router sends it to a back end. The store keeps this verdict for routers that start when no
+//! other router is left to tell them. One successful run clears a request.
 //!
-//! Without it a request that comes each 200 ms and ends its back end each time reached
-//! one in 23 of 24 tries 3 s after the third end; with it in none
-//! (4 routers and 8 back ends, processes).
+//! Without a quarantine, a request that came every 200 ms and crashed its back end each time still
+//! reached one in 23 of 24 tries 3 s after the third crash (4 routers, 8 back ends); with it, in
+//! none.
 //!
-//! - [`digest`]: which request it is, whoever tries it and however often.
-//! - [`interrupted_runs`]: runs that broke off, until it is known whether their back end ended.
-//! - [`record`]: what speaks against one request, mergeable.
-//! - [`probation`]: where a suspect runs.
+//! - [`digest`]: identity of a request across all its tries.
+//! - [`interrupted_runs`]: runs that broke off, until it is known whether their back end crashed.
+//! - [`record`]: mergeable record of the crashes under one request.
+//! - [`probation`]: choice of the back end for a request on probation.
 
 pub mod digest;
 pub mod interrupted_runs;
@@ -29,77 +31,82 @@
 use crate::direct::quarantine::record::{Record, RecordGossip, Treatment};
 use crate::time::Time;
 
-/// Records that are kept, some 150 bytes each by their layout. An end makes one for each request that broke there.
-const MOST_RECORDS: usize = 2048;
+/// Maximum number of records, some 150 bytes each. A crash adds one for each run that it
+/// interrupted.
+const MAX_RECORDS: usize = 2048;
 
-/// Verdicts among them; who makes one has ended four back ends.
-const MOST_SET_ASIDE: usize = 512;
+/// Maximum number of verdicts that are evicted only after all other records. A caller that causes a
+/// verdict has crashed three or more back ends.
+const MAX_PROTECTED_VERDICTS: usize = 512;
 
-/// Records of suspects and verdicts, and of those cleared, that changed lately in one
-/// datagram, 20 to 60 bytes each.
-const TOLD: usize = 4;
+/// Maximum number of recently changed high-priority records in one datagram, 20 to 60 bytes each.
+const MAX_HIGH_PRIORITY_PER_DATAGRAM: usize = 4;
 
-/// Records of requests that are only watched beside them: an end makes dozens, and
-/// what they take of the byte budget is taken from news of loads.
-const TOLD_WATCHED: usize = 2;
+/// Maximum number of recently changed low-priority records in one datagram. A crash adds dozens of
+/// them, and their bytes are taken from the gossip of loads.
+const MAX_LOW_PRIORITY_PER_DATAGRAM: usize = 2;
 
-/// Verdicts beside them that are told in turn, however old: for who joined since.
-const TOLD_IN_TURN: usize = 2;
+/// Maximum number of older verdicts in one datagram. These take turns, for routers that joined
+/// since.
+const MAX_OLD_VERDICTS_PER_DATAGRAM: usize = 2;
 
-/// Time for which a change is told.
-const NEW: Duration = Duration::from_secs(10);
+/// Time for which a change of a high-priority record is gossiped.
+const HIGH_PRIORITY_GOSSIP_TIME: Duration = Duration::from_secs(10);
 
-/// The same where a request is only watched: three rounds of news in a fleet of 100.
-const NEW_WATCHED: Duration = Duration::from_secs(3);
+/// Time for which a change of a low-priority record is gossiped: three gossip rounds in a fleet of
+/// 100.
+const LOW_PRIORITY_GOSSIP_TIME: Duration = Duration::from_secs(3);
 
-/// Longest time for which a verdict of another router is left to that one to store; evenly spread.
-const STORE_LATER: Duration = Duration::from_secs(3);
+/// Maximum time for which the write of a verdict is left to the router that reached it; the delay
+/// is uniformly distributed up to this.
+const MAX_STORE_DELAY: Duration = Duration::from_secs(3);
 
-/// A verdict as the store keeps it.
+/// A verdict, that a request is set aside, as the store keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StoredVerdict {
-    /// Which request.
+    /// Request that is set aside.
     pub digest: RequestDigest,
-    /// The epoch that it belongs to.
+    /// Epoch of the request's record that the verdict belongs to.
     pub epoch: u32,
 }
 
-/// How the treatment of a request changed.
+/// A change in the treatment of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TreatmentChange {
-    /// Which request.
+    /// Request whose treatment changed.
     pub digest: RequestDigest,
-    /// How it was treated.
+    /// Treatment before the change.
     pub before: Treatment,
-    /// How it is treated from now on.
+    /// Treatment from now on.
     pub after: Treatment,
-    /// Lives that ended under it, as far as known.
+    /// Number of known instances that crashed while they ran the request.
     pub crashes: usize,
-    /// Those among them that ended while it was on probation.
+    /// Number of these instances that crashed while the request was on probation.
     pub probation_crashes: usize,
 }
 
-/// What a router knows of requests that end back ends.
+/// A router's records of requests that crash back ends.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: HashMap<RequestDigest, Record>,
-    /// Verdicts that the store holds and that no longer stand.
+    /// Requests whose verdict the store may still hold although they were cleared.
     outdated: BTreeSet<RequestDigest>,
-    turn: usize,
+    /// Position of the next older verdict to gossip, modulo their number.
+    next_old_verdict: usize,
 }
 
 impl Quarantine {
-    /// Whether nothing speaks against any request.
+    /// Whether there is no record of any request, cleared ones included.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Requests that are set aside.
+    /// Number of requests that are set aside.
     pub fn set_aside_count(&self) -> usize {
         self.count(Treatment::SetAside)
     }
 
-    /// Requests that run on probation.
+    /// Number of requests that run only on probation.
     pub fn on_probation_count(&self) -> usize {
         self.count(Treatment::Probation)
     }
@@ -111,61 +118,70 @@
             .count()
     }
 
-    /// How a request is to be treated that came now.
+    /// Treatment of a request that arrived at `now`. Notes that its record was used.
     pub fn treatment(&mut self, digest: RequestDigest, now: Time) -> Treatment {
         let Some(record) = self.records.get_mut(&digest) else {
             return Treatment::Usual;
         };
-        record.used = now;
+        record.last_used = now;
         record.treatment()
     }
 
-    /// A life ended while it ran a request.
+    /// Records that a back end instance crashed while it ran a request.
     pub fn on_crash(
         &mut self,
         digest: RequestDigest,
-        life: LifeId,
+        instance: LifeId,
         on_probation: bool,
         now: Time,
     ) -> Option<TreatmentChange> {
         self.make_room(now);
-        let change = self.change(digest, |record| record.add_crash(life, on_probation, now))?;
+        let change = self.update(digest, |record| {
+            record.add_crash(instance, on_probation, now)
+        })?;
         if change.after == Treatment::SetAside {
-            self.store_at(digest, now);
+            self.schedule_write(digest, now);
         }
         Some(change)
     }
 
-    /// A run of a request ended well: whatever ended under it was not its doing.
+    /// Clears a request after a successful run: it did not cause the crashes.
     pub fn on_successful_run(
         &mut self,
         digest: RequestDigest,
         now: Time,
     ) -> Option<TreatmentChange> {
         let record = self.records.get(&digest)?;
-        if !record.is_marked() {
+        if !record.is_implicated() {
             return None;
         }
         self.clear(digest, now)
     }
 
     fn clear(&mut self, digest: RequestDigest, now: Time) -> Option<TreatmentChange> {
-        let change = self.change(digest, |record| record.clear(now))?;
+        let change = self.update(digest, |record| record.clear(now))?;
         if change.before == Treatment::SetAside {
             self.outdated.insert(digest);
         }
         Some(change)
     }
 
-    /// Takes what a peer tells. `draw`, from 0 to 1, spreads who stores a verdict that nobody has.
-    pub fn merge(&mut self, news: &[RecordGossip], draw: f64, now: Time) -> Vec<TreatmentChange> {
+    /// Merges records that a peer gossips. `draw`, random from 0 to 1, is the fraction of
+    /// `MAX_STORE_DELAY` after which this router writes a new verdict itself if no other router
+    /// has.
+    pub fn merge(
+        &mut self,
+        records: &[RecordGossip],
+        draw: f64,
+        now: Time,
+    ) -> Vec<TreatmentChange> {
         let mut changes = Vec::new();
-        for told in news {
+        for gossip in records {
             self.make_room(now);
-            let change = self.change(told.digest, |record| record.merge(told, now));
+            let change = self.update(gossip.digest, |record| record.merge(gossip, now));
             if let Some(change) = change {
                 if change.after == Treatment::SetAside {
-                    self.store_at(told.digest, now + STORE_LATER.mul_f64(draw));
+                    self.schedule_write(gossip.digest, now + MAX_STORE_DELAY.mul_f64(draw));
                 }
                 changes.push(change);
             }
@@ -173,15 +189,15 @@
         changes
     }
 
-    /// Changes a record; returns the change of treatment, if there is one.
-    fn change(
+    /// Updates a record and returns the resulting change of treatment, if any.
+    fn update(
         &mut self,
         digest: RequestDigest,
-        act: impl FnOnce(&mut Record),
+        apply: impl FnOnce(&mut Record),
     ) -> Option<TreatmentChange> {
         let record = self.records.entry(digest).or_default();
         let before = record.treatment();
-        act(record);
+        apply(record);
         let after = record.treatment();
         (after != before).then_some(TreatmentChange {
             digest,
@@ -192,7 +208,7 @@
         })
     }
 
-    fn store_at(&mut self, digest: RequestDigest, due: Time) {
+    fn schedule_write(&mut self, digest: RequestDigest, due: Time) {
         if let Some(record) = self.records.get_mut(&digest) {
             if record.stored_since.is_none() {
                 record.store_due = Some(due);
@@ -200,56 +216,70 @@
         }
     }
 
-    /// What to tell peers in one datagram: what changed lately, verdicts first, and
-    /// verdicts in turn.
+    /// Records for one datagram: recent changes, those of high priority first, and older verdicts
+    /// in turn.
     pub fn gossip(&mut self, now: Time) -> Vec<RecordGossip> {
-        let mut told = self.told_lately(TOLD, NEW, Record::is_grave, now);
-        let is_light = |record: &Record| !record.is_grave();
-        told.extend(self.told_lately(TOLD_WATCHED, NEW_WATCHED, is_light, now));
-        told.extend(self.verdicts_in_turn(now));
-        told
+        let mut records = self.recent_changes(
+            MAX_HIGH_PRIORITY_PER_DATAGRAM,
+            HIGH_PRIORITY_GOSSIP_TIME,
+            Record::is_high_priority,
+            now,
+        );
+        let is_low_priority = |record: &Record| !record.is_high_priority();
+        records.extend(self.recent_changes(
+            MAX_LOW_PRIORITY_PER_DATAGRAM,
+            LOW_PRIORITY_GOSSIP_TIME,
+            is_low_priority,
+            now,
+        ));
+        records.extend(self.old_verdicts(now));
+        records
     }
 
-    /// Records that changed within a time, the newest first, `most` of them.
-    fn told_lately(
+    /// Up to `limit` of the selected records that changed within `max_age`, the latest first.
+    fn recent_changes(
         &self,
-        most: usize,
-        time: Duration,
-        is_meant: impl Fn(&Record) -> bool,
+        limit: usize,
+        max_age: Duration,
+        is_selected: impl Fn(&Record) -> bool,
         now: Time,
     ) -> Vec<RecordGossip> {
-        let mut new: Vec<_> = self.records.iter().collect();
-        new.retain(|(_, record)| is_meant(record) && now.since(record.changed) < time);
-        new.sort_unstable_by_key(|(digest, record)| std::cmp::Reverse((record.changed, **digest)));
-        let told = new.into_iter().take(most);
-        told.map(|(digest, record)| record.gossip(*digest))
+        let mut recent: Vec<_> = self.records.iter().collect();
+        recent
+            .retain(|(_, record)| is_selected(record) && now.since(record.last_changed) < max_age);
+        recent.sort_unstable_by_key(|(digest, record)| {
+            std::cmp::Reverse((record.last_changed, **digest))
+        });
+        let latest = recent.into_iter().take(limit);
+        latest
+            .map(|(digest, record)| record.gossip(*digest))
             .collect()
     }
 
-    fn verdicts_in_turn(&mut self, now: Time) -> Vec<RecordGossip> {
-        let stands = |record: &Record| record.treatment() == Treatment::SetAside;
-        let is_old = |record: &Record| now.since(record.changed) >= NEW;
+    fn old_verdicts(&mut self, now: Time) -> Vec<RecordGossip> {
+        let is_verdict = |record: &Record| record.treatment() == Treatment::SetAside;
+        let is_old = |record: &Record| now.since(record.last_changed) >= HIGH_PRIORITY_GOSSIP_TIME;
         let mut old: Vec<_> = self.records.iter().collect();
-        old.retain(|(_, record)| stands(record) && is_old(record));
+        old.retain(|(_, record)| is_verdict(record) && is_old(record));
         if old.is_empty() {
             return Vec::new();
         }
         old.sort_unstable_by_key(|(digest, _)| **digest);
-        let count = old.len().min(TOLD_IN_TURN);
-        let first = self.turn % old.len();
-        self.turn = self.turn.wrapping_add(count);
+        let count = old.len().min(MAX_OLD_VERDICTS_PER_DATAGRAM);
+        let first = self.next_old_verdict % old.len();
+        self.next_old_verdict = self.next_old_verdict.wrapping_add(count);
         let in_turn = old.iter().cycle().skip(first).take(count);
         in_turn
             .map(|(digest, record)| record.gossip(**digest))
             .collect()
     }
 
-    /// Verdicts that are to be written to the store now.
+    /// Verdicts to write to the store now.
     pub fn verdicts_to_write(&self, now: Time) -> Vec<StoredVerdict> {
-        let due = |record: &Record| record.store_due.is_some_and(|due| due <= now);
+        let is_due = |record: &Record| record.store_due.is_some_and(|due| due <= now);
         let records = self.records.iter();
         records
-            .filter(|(_, record)| record.treatment() == Treatment::SetAside && due(record))
+            .filter(|(_, record)| record.treatment() == Treatment::SetAside && is_due(record))
             .map(|(digest, record)| StoredVerdict {
                 digest: *digest,
                 epoch: record.epoch,
@@ -257,46 +287,46 @@
             .collect()
     }
 
-    /// Verdicts that are to be dropped from the store.
+    /// Requests whose verdict is to be removed from the store.
     pub fn verdicts_to_remove(&self) -> Vec<RequestDigest> {
         self.outdated.iter().copied().collect()
     }
 
-    /// The store took verdicts and dropped others.
+    /// Records that the store now holds the `written` verdicts and no longer the `removed` ones.
     pub fn on_verdicts_written(
         &mut self,
-        stored: &[StoredVerdict],
-        dropped: &[RequestDigest],
+        written: &[StoredVerdict],
+        removed: &[RequestDigest],
         now: Time,
     ) {
-        for verdict in stored {
+        for verdict in written {
             if let Some(record) = self.records.get_mut(&verdict.digest) {
                 if record.epoch == verdict.epoch {
                     record.stored_since = Some(now);
                     record.store_due = None;
-                    // Told again at once: the others need not write it.
-                    record.changed = now;
+                    // Gossip it again at once, so that the other routers need not write it.
+                    record.last_changed = now;
                 }
             }
         }
-        for digest in dropped {
+        for digest in removed {
             self.outdated.remove(digest);
         }
     }
 
-    /// All verdicts of the store, as of a read that began at a time. A verdict that was there
-    /// before and is no longer was lifted by an operator.
+    /// Applies all verdicts of the store, as of a read that began at `read_began`. A verdict that
+    /// was stored before and no longer is was lifted by an operator.
     pub fn apply_stored(
         &mut self,
         verdicts: &[StoredVerdict],
-        begun: Time,
+        read_began: Time,
         now: Time,
     ) -> Vec<TreatmentChange> {
         let mut changes: Vec<TreatmentChange> = Vec::new();
         for verdict in verdicts {
             self.make_room(now);
             let mut is_outdated = false;
-            let change = self.change(verdict.digest, |record| {
+            let change = self.update(verdict.digest, |record| {
                 is_outdated = record.epoch > verdict.epoch;
                 if !is_outdated {
                     record.epoch = verdict.epoch;
@@ -310,16 +340,19 @@
             }
             changes.extend(change);
         }
-        let listed = |digest: &RequestDigest| {
+        let is_listed = |digest: &RequestDigest| {
             let mut listed = verdicts.iter();
             listed.any(|verdict| verdict.digest == *digest)
         };
-        let stood_before = |record: &Record| record.stored_since.is_some_and(|since| since < begun);
+        let was_stored =
+            |record: &Record| record.stored_since.is_some_and(|since| since < read_began);
         let lifted: Vec<RequestDigest> = self
             .records
             .iter()
             .filter(|(digest, record)| {
-                record.treatment() == Treatment::SetAside && stood_before(record) && !listed(digest)
+                record.treatment() == Treatment::SetAside
+                    && was_stored(record)
+                    && !is_listed(digest)
             })
             .map(|(digest, _)| *digest)
             .collect();
@@ -330,29 +363,31 @@
         changes
     }
 
-    /// Forgets what is too old to count.
+    /// Drops expired records.
     pub fn expire(&mut self, now: Time) {
-        self.records.retain(|_, record| !record.is_over(now));
+        self.records.retain(|_, record| !record.is_expired(now));
     }
 
-    /// Makes room for one more record: at the cost of what is neither suspect nor set aside, then
-    /// of suspects; of verdicts only where they are too many. In each the longest unused goes.
+    /// Makes room for one more record. Records of cleared requests are evicted first, then those of
+    /// watched requests, of requests on probation, and verdicts; if there are too many verdicts,
+    /// these are evicted like records of cleared requests. Within each group the least recently
+    /// used go first.
     fn make_room(&mut self, now: Time) {
-        if self.records.len() < MOST_RECORDS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         self.expire(now);
-        let many_verdicts = self.set_aside_count() > MOST_SET_ASIDE;
-        let cost = |record: &Record| match record.treatment() {
-            Treatment::SetAside if many_verdicts => Treatment::Usual,
+        let too_many_verdicts = self.set_aside_count() > MAX_PROTECTED_VERDICTS;
+        let eviction_rank = |record: &Record| match record.treatment() {
+            Treatment::SetAside if too_many_verdicts => Treatment::Usual,
             treatment => treatment,
         };
-        // A tenth at a time, so that a flood does not sort them for each.
-        let surplus = self.records.len().saturating_sub(MOST_RECORDS * 9 / 10);
+        // Evicting a tenth at a time avoids a sort for each record of a flood.
+        let surplus = self.records.len().saturating_sub(MAX_RECORDS * 9 / 10);
         let mut order: Vec<_> = self
             .records
             .iter()
-            .map(|(digest, record)| (cost(record), record.used, *digest))
+            .map(|(digest, record)| (eviction_rank(record), record.last_used, *digest))
             .collect();
         order.sort_unstable();
         for (_, _, digest) in order.into_iter().take(surplus) {
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -1,7 +1,7 @@
-//! Where a suspect runs.
+//! Choice of the back end for a request on probation.
 //!
-//! Every router finds the same few back ends for it, from its digest alone: whichever routers
-//! a suspect comes to, and whatever they know of each other, it cannot end others than these.
+//! All routers select the same few back ends for it, from its digest alone. Whichever
+//! routers it arrives at, and whatever these know of each other, it can crash no other back ends.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -9,12 +9,13 @@
 use crate::direct::choice::select::DirectCandidate;
 use crate::direct::quarantine::digest::RequestDigest;
 
-/// Back ends that a suspect may go to. Two: with one, a suspect that is innocent waits
-/// for as long as that one is away, and nothing tells it from a guilty one.
+/// Number of back ends that a request on probation may run on. With one, an innocent request would
+/// wait for as long as that one is unavailable, and nothing would distinguish it from one that
+/// causes crashes.
 const PROBATION_BACK_ENDS: usize = 2;
 
-/// The candidate for a suspect's probation; `None` while none of those that its digest names
-/// can take it.
+/// Selects the candidate for the probation of a request; `None` while none of those that its digest
+/// selects can take it.
 pub fn select_for_probation(
     candidates: &[DirectCandidate],
     digest: RequestDigest,
@@ -25,9 +26,9 @@
         xxh3_64_with_seed(&candidate.id_hash.to_le_bytes(), digest.as_u64())
     };
     order.sort_unstable_by_key(|candidate| std::cmp::Reverse(score(candidate)));
-    let named = order.into_iter().take(PROBATION_BACK_ENDS);
-    let mut able = named.filter(|candidate| {
+    let selected = order.into_iter().take(PROBATION_BACK_ENDS);
+    let mut available = selected.filter(|candidate| {
         candidate.open && candidate.standing != Standing::Ejected && is_free(candidate)
     });
-    able.next()
+    available.next()
 }
--- a/crates/stacktack-core/src/direct/quarantine/record.rs
+++ b/crates/stacktack-core/src/direct/quarantine/record.rs
@@ -1,8 +1,8 @@
-//! What speaks against one request, in a form that routers can merge.
+//! Mergeable record of the crashes under one request.
 //!
-//! Deaths are a set of lives and no number, so that one death that two routers saw counts
-//! once, whatever is told how often and in whichever order. What speaks for a request, a run
-//! that ended well, begins a new epoch with an empty set: a newer epoch replaces an older one.
+//! Crashes are kept as a set of back end instances, not as a count: a crash that two routers saw
+//! counts once, however often and in whichever order records are gossiped. A successful run starts
+//! a new epoch with an empty set, and a newer epoch replaces an older one.
 
 use std::time::Duration;
 
@@ -12,42 +12,46 @@
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::time::Time;
 
-/// Deaths from which a request is a suspect. One death says little: an end breaks all that its
-/// back end was running, 40 to 60 requests in the case that was measured.
-const SUSPECT_DEATHS: usize = 2;
+/// Number of crashes from which a request runs only on probation. One crash says little, since it
+/// interrupts all runs of its back end, for instance 40 to 60 requests.
+const MIN_CRASHES_FOR_PROBATION: usize = 2;
 
-/// Deaths from which a request may be set aside: three ends are what the promise allows.
-const VERDICT_DEATHS: usize = 3;
+/// Number of crashes from which a request may be set aside. Three are as many as the guarantee
+/// allows one request to cause.
+const MIN_CRASHES_FOR_VERDICT: usize = 3;
 
-/// Deaths on probation that it takes besides, each under another life. A repeat of an innocent
-/// request meets the next end too; that it meets two more at the back ends which its probation
-/// goes to, chosen before, is left for those that cause them (`tests/quarantine.rs`).
-const VERDICT_PROBATION_DEATHS: usize = 2;
+/// Number of these crashes, each of another instance, that have to occur during probation. A retry
+/// of an innocent request may meet the next crash as well. To meet two more at the back ends that
+/// were selected beforehand for its probation is unlikely for a request that does not cause them.
+const MIN_PROBATION_CRASHES_FOR_VERDICT: usize = 2;
 
-/// Time after which a record is forgotten that nobody asked for: a request that comes less often than
-/// each hour ends a back end each time, a suspect that comes less often than each day.
-const KEEP_WATCHED: Duration = Duration::from_secs(3600);
-const KEEP_SUSPECT: Duration = Duration::from_secs(24 * 3600);
+/// Time without use after which the record of a watched or cleared request expires. A fatal request
+/// that comes less often than once an hour crashes a back end each time.
+const WATCHED_RETENTION: Duration = Duration::from_secs(3600);
 
-/// Lives that are remembered for one request: more add nothing.
-const MOST_LIVES: usize = 6;
+/// Time without use after which the record of a request on probation expires. A fatal request on
+/// probation that comes less often than once a day crashes a back end each time.
+const PROBATION_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// How a request is to be treated, by what speaks against it.
+/// Maximum number of crashed instances in one record. More would not change the treatment.
+const MAX_INSTANCES: usize = 6;
+
+/// Treatment of a request, according to the crashes under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Treatment {
-    /// As any other.
+    /// Like any other request.
     Usual,
-    /// As on probation where that is possible, else as any other.
+    /// Runs on probation where that is possible, else like any other request.
     Watched,
-    /// It runs on probation: at one of few back ends that its digest names, beside no other suspect
-    /// and once for each try of its caller.
+    /// Runs only on probation: at one of the few back ends that its digest selects, where its
+    /// router runs no other request on probation, and once for each try of its caller.
     Probation,
-    /// It is not sent to any back end.
+    /// Is not sent to any back end.
     SetAside,
 }
 
 impl Treatment {
-    /// Fixed word for logs and metrics.
+    /// Fixed text for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Treatment::Usual => "usual",
@@ -58,47 +62,48 @@
     }
 }
 
-/// A record as routers tell it to each other.
+/// A record as routers gossip it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordGossip {
-    /// Which request.
+    /// Request that the record is about.
     pub digest: RequestDigest,
-    /// Times that it was cleared.
+    /// Number of times that the request was cleared.
     pub epoch: u32,
-    /// Lives that ended under it since; none once it is set aside.
+    /// Instances that crashed under the request in this epoch; empty once it is set aside.
     pub crashes: Vec<LifeId>,
-    /// Those of them that ended while it was on probation.
+    /// Those of these instances that crashed while the request was on probation.
     pub probation_crashes: Vec<LifeId>,
-    /// Whether it is set aside.
+    /// Whether the request is set aside.
     pub set_aside: bool,
-    /// Whether the store holds that.
+    /// Whether the store holds the verdict.
     pub stored: bool,
 }
 
-/// What speaks against one request.
+/// Crashes under one request and the verdict on it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
     pub epoch: u32,
     crashes: Vec<LifeId>,
     probation_crashes: Vec<LifeId>,
     set_aside: bool,
-    /// Whether it was a suspect or set aside before its epoch began: others have to hear of that.
-    was_suspect: bool,
-    /// Since when the store is known to hold that it is set aside.
+    /// Whether the request was of high priority before this epoch, so that peers have to learn soon
+    /// that it was cleared.
+    was_high_priority: bool,
+    /// Since when the store is known to hold the verdict.
     pub stored_since: Option<Time>,
-    /// When it is to be written there, if nobody else did.
+    /// When to write the verdict to the store, unless another router has by then.
     pub store_due: Option<Time>,
-    /// When it last changed.
-    pub changed: Time,
-    /// When it last mattered: changed, or was asked for.
-    pub used: Time,
+    /// When the record last changed.
+    pub last_changed: Time,
+    /// When the record last changed or was looked up.
+    pub last_used: Time,
 }
 
 impl Record {
     pub fn treatment(&self) -> Treatment {
         if self.set_aside {
             Treatment::SetAside
-        } else if self.crashes.len() >= SUSPECT_DEATHS {
+        } else if self.crashes.len() >= MIN_CRASHES_FOR_PROBATION {
             Treatment::Probation
         } else if self.crashes.is_empty() {
             Treatment::Usual
@@ -107,10 +112,10 @@
         }
     }
 
-    /// Whether peers should hear of it before others: it is a suspect or set aside, or was and is
-    /// cleared.
-    pub fn is_grave(&self) -> bool {
-        self.was_suspect || self.treatment() > Treatment::Watched
+    /// Whether peers should receive this record before others: the request is on probation or set
+    /// aside, or was and has been cleared.
+    pub fn is_high_priority(&self) -> bool {
+        self.was_high_priority || self.treatment() > Treatment::Watched
     }
 
     pub fn crashes(&self) -> usize {
@@ -121,113 +126,113 @@
         self.probation_crashes.len()
     }
 
-    /// Whether something speaks against it.
-    pub fn is_marked(&self) -> bool {
+    /// Whether the request is set aside or has crashes.
+    pub fn is_implicated(&self) -> bool {
         self.set_aside || !self.crashes.is_empty()
     }
 
-    /// A life ended under it.
-    pub fn add_crash(&mut self, life: LifeId, on_probation: bool, now: Time) {
-        let mut news = insert(&mut self.crashes, life);
+    /// Records that an instance crashed while it ran the request.
+    pub fn add_crash(&mut self, instance: LifeId, on_probation: bool, now: Time) {
+        let mut is_new = insert_instance(&mut self.crashes, instance);
         if on_probation {
-            news |= insert(&mut self.probation_crashes, life);
+            is_new |= insert_instance(&mut self.probation_crashes, instance);
         }
-        if news {
-            self.changed = now;
-            self.used = now;
-            self.judge();
+        if is_new {
+            self.last_changed = now;
+            self.last_used = now;
+            self.update_verdict();
         }
     }
 
-    /// Whether it is set aside now.
-    fn judge(&mut self) {
-        let enough = self.crashes.len() >= VERDICT_DEATHS
-            && self.probation_crashes.len() >= VERDICT_PROBATION_DEATHS;
-        self.set_aside |= enough;
+    /// Sets the request aside once there are enough crashes.
+    fn update_verdict(&mut self) {
+        let has_enough_crashes = self.crashes.len() >= MIN_CRASHES_FOR_VERDICT
+            && self.probation_crashes.len() >= MIN_PROBATION_CRASHES_FOR_VERDICT;
+        self.set_aside |= has_enough_crashes;
     }
 
-    /// It is set aside, whatever is known of crashes.
+    /// Sets the request aside, whatever crashes are known.
     pub fn set_aside(&mut self, now: Time) {
         if !self.set_aside {
             self.set_aside = true;
-            self.changed = now;
-            self.used = now;
+            self.last_changed = now;
+            self.last_used = now;
         }
     }
 
-    /// Something speaks for it: what spoke against it counts no more.
+    /// Clears the request: starts a new epoch without crashes or verdict.
     pub fn clear(&mut self, now: Time) {
         *self = Record {
             epoch: self.epoch + 1,
-            was_suspect: self.is_grave(),
-            changed: now,
-            used: now,
+            was_high_priority: self.is_high_priority(),
+            last_changed: now,
+            last_used: now,
             ..Record::default()
         };
     }
 
-    /// Takes what another router knows.
-    pub fn merge(&mut self, news: &RecordGossip, now: Time) {
-        if news.epoch < self.epoch {
+    /// Merges the record of another router.
+    pub fn merge(&mut self, gossip: &RecordGossip, now: Time) {
+        if gossip.epoch < self.epoch {
             return;
         }
-        let mut changed = news.epoch > self.epoch;
+        let mut changed = gossip.epoch > self.epoch;
         if changed {
             *self = Record {
-                epoch: news.epoch,
-                was_suspect: self.is_grave(),
+                epoch: gossip.epoch,
+                was_high_priority: self.is_high_priority(),
                 ..Record::default()
             };
         }
-        for life in news.crashes.iter().take(MOST_LIVES) {
-            changed |= insert(&mut self.crashes, *life);
+        for instance in gossip.crashes.iter().take(MAX_INSTANCES) {
+            changed |= insert_instance(&mut self.crashes, *instance);
         }
-        for life in news.probation_crashes.iter().take(MOST_LIVES) {
-            changed |= insert(&mut self.probation_crashes, *life);
+        for instance in gossip.probation_crashes.iter().take(MAX_INSTANCES) {
+            changed |= insert_instance(&mut self.probation_crashes, *instance);
         }
-        changed |= news.set_aside && !self.set_aside;
-        self.set_aside |= news.set_aside;
-        self.judge();
-        if news.stored && self.stored_since.is_none() {
+        changed |= gossip.set_aside && !self.set_aside;
+        self.set_aside |= gossip.set_aside;
+        self.update_verdict();
+        if gossip.stored && self.stored_since.is_none() {
             self.stored_since = Some(now);
             self.store_due = None;
         }
         if changed {
-            self.changed = now;
-            self.used = now;
+            self.last_changed = now;
+            self.last_used = now;
         }
     }
 
     pub fn gossip(&self, digest: RequestDigest) -> RecordGossip {
-        let lives = |lives: &[LifeId]| match self.set_aside {
+        let gossiped = |instances: &[LifeId]| match self.set_aside {
             true => Vec::new(),
-            false => lives.to_vec(),
+            false => instances.to_vec(),
         };
         RecordGossip {
             digest,
             epoch: self.epoch,
-            crashes: lives(&self.crashes),
-            probation_crashes: lives(&self.probation_crashes),
+            crashes: gossiped(&self.crashes),
+            probation_crashes: gossiped(&self.probation_crashes),
             set_aside: self.set_aside,
             stored: self.stored_since.is_some(),
         }
     }
 
-    /// Whether it is too old to count. A verdict never is.
-    pub fn is_over(&self, now: Time) -> bool {
-        let keep = match self.treatment() {
+    /// Whether the record is unused for so long that it no longer counts. Verdicts never expire.
+    pub fn is_expired(&self, now: Time) -> bool {
+        let retention = match self.treatment() {
             Treatment::SetAside => return false,
-            Treatment::Probation => KEEP_SUSPECT,
-            Treatment::Usual | Treatment::Watched => KEEP_WATCHED,
+            Treatment::Probation => PROBATION_RETENTION,
+            Treatment::Usual | Treatment::Watched => WATCHED_RETENTION,
         };
-        now.since(self.used) >= keep
+        now.since(self.last_used) >= retention
     }
 }
 
-fn insert(lives: &mut Vec<LifeId>, life: LifeId) -> bool {
-    if lives.contains(&life) || lives.len() >= MOST_LIVES {
+fn insert_instance(instances: &mut Vec<LifeId>, instance: LifeId) -> bool {
+    if instances.contains(&instance) || instances.len() >= MAX_INSTANCES {
         return false;
     }
-    lives.push(life);
+    instances.push(instance);
     true
 }
