--- a/crates/stacktack-core/src/direct/back_ends/back_end.rs
+++ b/crates/stacktack-core/src/direct/back_ends/back_end.rs
@@ -1,9 +1,9 @@
-//! What a router believes of each back end.
+//! State that a router keeps for each back end.
 //!
-//! Beliefs come from the directory (who exists, who is leaving), from answers
-//! (failures, time to the first byte, silence) and from connections that did
-//! not come up. No probe is sent. A bad standing only lowers preference: when
-//! every candidate stands badly, the best of them is still used.
+//! The state comes from the directory (which back ends exist, which are leaving), from
+//! responses (failures, time to the first byte, silence) and from failed connection
+//! attempts. Outlier detection is passive: no health probes are sent. Bad health only lowers
+//! preference: if every candidate is degraded or ejected, the best of them is still used.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,61 +18,62 @@
 use crate::retry::doubled;
 use crate::time::Time;
 
-/// Connections in a row that failed before a back end is passed by.
+/// Consecutive failed connections or silences after which a back end is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
 
-/// First time that a back end is passed by; doubles with each failed return.
-const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// Duration of the first ejection; it doubles with each further failure.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest time that a back end is passed by.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
-/// With requests in flight and no byte for this long a back end is silent.
-const SILENCE: Duration = Duration::from_millis(450);
+/// Time without a byte, with requests in flight, after which a back end is silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Weight of the newest outcome in a back end's failure share.
-const FAILURE_WEIGHT: f64 = 0.12;
+/// Weight of the newest outcome in the moving average of a back end's failure share.
+const FAILURE_SHARE_WEIGHT: f64 = 0.12;
 
-/// Weight of the newest time to the first byte.
-const LATENCY_WEIGHT: f64 = 0.15;
+/// Weight of the newest time to the first byte in a back end's moving average.
+const FIRST_BYTE_WEIGHT: f64 = 0.15;
 
-/// A time to the first byte is degraded above this multiple of the pool's mean.
+/// Multiple of the pool's median time to the first byte above which a back end is slow.
 const SLOW_FACTOR: f64 = 3.0;
 
-/// Age up to which a peer's accusation counts.
-const ACCUSATION_AGE: Duration = Duration::from_millis(1500);
+/// Maximum age of a peer's suspect report that counts.
+const MAX_SUSPECT_REPORT_AGE: Duration = Duration::from_millis(1500);
 
-/// Peers that have to accuse a back end: single failures are scattered over many.
-const ACCUSERS: usize = 2;
+/// Peers that have to report a back end as suspect. One is not enough, because single
+/// failures are scattered over many back ends.
+const MIN_REPORTING_PEERS: usize = 2;
 
-/// Age up to which an own good answer outweighs an accusation.
-const RECENT_SUCCESS: Duration = Duration::from_millis(500);
+/// Maximum age of a successful response to this router that outweighs suspect reports.
+const MAX_OVERRIDING_SUCCESS_AGE: Duration = Duration::from_millis(500);
 
-/// Time after which a slow back end that got no requests is given the benefit of
-/// the doubt.
-const FORGET: Duration = Duration::from_secs(3);
+/// Time without requests after which a slow back end is no longer degraded, so that it gets
+/// requests again.
+const SLOW_STATE_TTL: Duration = Duration::from_secs(3);
 
-/// A back end and what is believed of it.
+/// A back end and the state that this router keeps for it.
 #[derive(Clone, Debug)]
 pub struct BackEnd {
-    /// The directory's entry.
+    /// Newest directory entry.
     pub entry: BackEndEntry,
-    /// Hash of the id, for rendezvous hashing.
+    /// Hash of the id, for rendezvous hashing and short ids.
     pub id_hash: u64,
-    /// Requests in flight there, of this router and of others.
+    /// Requests in flight at the back end, from this router and from others.
     pub load: BackEndLoad,
-    /// What may be sent there while it is cold.
-    cold: Option<SlowStartLimiter>,
-    /// Whether another instance answers at its address, until the directory tells more.
+    /// Limits the requests sent to the back end while it is cold.
+    slow_start: Option<SlowStartLimiter>,
+    /// Whether another instance has answered at its address; reset by a newer directory entry.
     replaced: bool,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     ejected_until: Option<Time>,
     failure_share: f64,
-    /// Failure share of its pool at the last choice from it.
-    pub(crate) usual_failure_share: f64,
-    suspicion: OutlierDetector,
-    /// Peers that said of late that they suspect it, and when.
-    accusations: Vec<(SocketAddr, Time)>,
+    /// Median failure share of its pool at the last selection from the pool.
+    pub(crate) pool_failure_share: f64,
+    outlier_detector: OutlierDetector,
+    /// Peers that recently reported it as suspect, and when.
+    suspect_reports: Vec<(SocketAddr, Time)>,
     last_success: Option<Time>,
     first_byte_seconds: Option<f64>,
     silent_since: Time,
@@ -80,21 +81,21 @@
 }
 
 impl BackEnd {
-    /// A back end of which nothing is known yet.
+    /// Creates the state for a back end known only by its directory entry.
     pub fn new(entry: BackEndEntry, now: Time) -> Self {
         let id_hash = xxh3_64(entry.id.as_bytes());
         BackEnd {
-            cold: cold_gate(&entry, now),
+            slow_start: slow_start_limiter(&entry, now),
             replaced: false,
             entry,
             id_hash,
             load: BackEndLoad::default(),
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             ejected_until: None,
             failure_share: 0.0,
-            usual_failure_share: 0.0,
-            suspicion: OutlierDetector::default(),
-            accusations: Vec::new(),
+            pool_failure_share: 0.0,
+            outlier_detector: OutlierDetector::default(),
+            suspect_reports: Vec::new(),
             last_success: None,
             first_byte_seconds: None,
             silent_since: now,
@@ -102,206 +103,211 @@
         }
     }
 
-    /// Takes an entry of the directory; one of a newer revision says how cold the back
-    /// end is now, the same one told again does not.
-    pub(crate) fn take_entry(&mut self, entry: BackEndEntry, now: Time) {
+    /// Replaces the directory entry. Only an entry of a newer revision restarts the slow start:
+    /// the same entry received again does not tell how long the back end is cold from now.
+    pub(crate) fn update_entry(&mut self, entry: BackEndEntry, now: Time) {
         if entry.revision > self.entry.revision {
-            self.cold = cold_gate(&entry, now);
+            self.slow_start = slow_start_limiter(&entry, now);
             self.replaced = false;
         }
         self.entry = entry;
     }
 
-    /// Its entry as it is to be told now: how long it stays cold gets less.
+    /// Directory entry to send to peers now, with the remaining time for which the back end is
+    /// cold.
     pub(crate) fn entry_at(&self, now: Time) -> BackEndEntry {
         let mut entry = self.entry.clone();
         entry.cold_for = self
-            .cold
-            .map_or(Duration::ZERO, |gate| gate.until().since(now));
+            .slow_start
+            .map_or(Duration::ZERO, |limiter| limiter.until().since(now));
         entry
     }
 
-    /// It is taken to be cold at least until then, whatever its entry says.
+    /// Assumes that the back end is cold at least until `until`, whatever its entry says.
     pub(crate) fn assume_cold(&mut self, until: Time, now: Time) {
-        self.cold
+        self.slow_start
             .get_or_insert_with(|| SlowStartLimiter::new(until, now))
             .extend(until);
     }
 
-    /// Sets what may be sent there while it is cold; `None` where cold back ends of its
-    /// pool bear as much as others. Returns whether it has turned warm.
+    /// Sets the requests per second that this router may send while the back end is cold;
+    /// `None` if its pool has no slow start. Returns whether slow start has ended.
     pub(crate) fn update_slow_start(&mut self, rate: Option<f64>, now: Time) -> bool {
-        let Some(gate) = &mut self.cold else {
+        let Some(limiter) = &mut self.slow_start else {
             return false;
         };
         match rate {
-            Some(rate) if !gate.is_over(now) => {
-                gate.set_rate(rate, now);
+            Some(rate) if !limiter.is_over(now) => {
+                limiter.set_rate(rate, now);
                 false
             }
             _ => {
-                self.cold = None;
+                self.slow_start = None;
                 true
             }
         }
     }
 
-    /// Whether what may be sent there is bounded, since it is cold or was a moment ago.
+    /// Whether requests to the back end are rate-limited, because it is cold or was so at the
+    /// last [`BackEnd::update_slow_start`].
     pub(crate) fn is_rate_limited(&self) -> bool {
-        self.cold.is_some()
+        self.slow_start.is_some()
     }
 
-    /// Whether it is cold.
+    /// Whether the back end is in its slow start.
     pub fn is_cold(&self, now: Time) -> bool {
-        self.cold.is_some_and(|gate| !gate.is_over(now))
+        self.slow_start.is_some_and(|limiter| !limiter.is_over(now))
     }
 
-    /// Whether it may get one more request now: its address is still its own, and its
-    /// start is over or allows one more.
+    /// Whether the back end may get one more request now: no other instance has replaced it,
+    /// and its slow start is over or allows one more request.
     pub fn may_get_requests(&self, now: Time) -> bool {
-        !self.replaced && self.cold.is_none_or(|gate| gate.allows_request(now))
+        !self.replaced
+            && self
+                .slow_start
+                .is_none_or(|limiter| limiter.allows_request(now))
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent to the back end.
     pub fn on_send(&mut self, now: Time) {
         if self.load.in_flight == 0 {
             self.silent_since = now;
         }
         self.last_used = now;
         self.load.on_send(now);
-        if let Some(gate) = &mut self.cold {
-            gate.on_send(now);
+        if let Some(limiter) = &mut self.slow_start {
+            limiter.on_send(now);
         }
     }
 
-    /// Bytes came from there.
+    /// Records that bytes arrived from the back end, which ends its ejection.
     pub fn on_bytes(&mut self, now: Time) {
         self.silent_since = now;
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         self.ejected_until = None;
     }
 
-    /// An answer's first byte came this long after its request was sent.
-    pub fn on_first_byte(&mut self, after: Duration) {
-        let seconds = after.as_secs_f64();
+    /// Records the time from sending a request to the first byte of its response.
+    pub fn on_first_byte(&mut self, latency: Duration) {
+        let seconds = latency.as_secs_f64();
         let mean = self.first_byte_seconds.unwrap_or(seconds);
-        self.first_byte_seconds = Some(mean + LATENCY_WEIGHT * (seconds - mean));
+        self.first_byte_seconds = Some(mean + FIRST_BYTE_WEIGHT * (seconds - mean));
     }
 
-    /// An answer began well, or an attempt ended with a failure of the back end.
-    /// Returns whether it is suspect from now on, or no longer; `None` if that
-    /// did not change.
+    /// Records that a response began successfully, or that an attempt ended with a failure of
+    /// the back end. Returns whether the back end is suspect if that has changed, otherwise
+    /// `None`.
     pub fn on_outcome(&mut self, failed: bool, now: Time) -> Option<bool> {
         let value = f64::from(u8::from(failed));
-        self.failure_share += FAILURE_WEIGHT * (value - self.failure_share);
+        self.failure_share += FAILURE_SHARE_WEIGHT * (value - self.failure_share);
         if !failed {
             self.last_success = Some(now);
         }
-        let before = self.suspicion.is_suspect();
-        self.suspicion
-            .on_outcome(failed, self.usual_failure_share, now);
-        let after = self.suspicion.is_suspect();
+        let before = self.outlier_detector.is_suspect();
+        self.outlier_detector
+            .on_outcome(failed, self.pool_failure_share, now);
+        let after = self.outlier_detector.is_suspect();
         (after != before).then_some(after)
     }
 
-    /// Whether its failures make this router suspect it.
+    /// Whether this router suspects the back end because of its failures.
     pub fn is_suspect(&self) -> bool {
-        self.suspicion.is_suspect()
+        self.outlier_detector.is_suspect()
     }
 
-    /// A peer's failures make it suspect the back end. Returns whether enough
-    /// peers accuse it from now on.
+    /// Records that a peer reports the back end as suspect. Returns whether this report makes
+    /// the number of reporting peers sufficient.
     pub fn on_suspect_report(&mut self, peer: SocketAddr, now: Time) -> bool {
-        let before = self.is_accused(now);
-        self.accusations
-            .retain(|(accuser, at)| *accuser != peer && now.since(*at) < ACCUSATION_AGE);
-        self.accusations.push((peer, now));
-        self.is_accused(now) && !before
+        let before = self.is_reported_suspect(now);
+        self.suspect_reports
+            .retain(|(reporter, at)| *reporter != peer && now.since(*at) < MAX_SUSPECT_REPORT_AGE);
+        self.suspect_reports.push((peer, now));
+        self.is_reported_suspect(now) && !before
     }
 
-    /// Whether several peers accused it of late and nothing was seen here that
-    /// speaks against that.
-    fn is_accused(&self, now: Time) -> bool {
-        let fresh = self
-            .accusations
+    /// Whether enough peers recently reported the back end as suspect and no response to this
+    /// router recently succeeded.
+    fn is_reported_suspect(&self, now: Time) -> bool {
+        let recent = self
+            .suspect_reports
             .iter()
-            .filter(|(_, at)| now.since(*at) < ACCUSATION_AGE);
-        let accused = fresh.count() >= ACCUSERS;
-        let worked = self
+            .filter(|(_, at)| now.since(*at) < MAX_SUSPECT_REPORT_AGE);
+        let reported = recent.count() >= MIN_REPORTING_PEERS;
+        let succeeded = self
             .last_success
-            .is_some_and(|at| now.since(at) < RECENT_SUCCESS);
-        accused && !worked
+            .is_some_and(|at| now.since(at) < MAX_OVERRIDING_SUCCESS_AGE);
+        reported && !succeeded
     }
 
-    /// Another instance answered at its address: this one is gone for good, whatever the
-    /// directory still lists. Where all 42 of a pool had started anew, requests went from
-    /// one to the next by preference only: 6,843 repeated arrivals in 10 s before, of
-    /// 2,551 allowed.
+    /// Records that another instance answered at the back end's address: this instance is gone
+    /// for good, whatever the directory still lists, and gets no more requests. A lower
+    /// preference alone is not enough: when all 42 back ends of a pool had restarted, requests
+    /// went from one to the next, and 6,843 retries arrived in 10 s where 2,551 were allowed.
     pub fn on_replaced(&mut self) {
         self.replaced = true;
     }
 
-    /// A connection failed or the back end fell silent. Returns whether it is
-    /// passed by from now on.
+    /// Records that a connection failed or that the back end fell silent. Returns whether the
+    /// back end is ejected now.
     pub fn on_unreachable(&mut self, now: Time) -> bool {
-        self.failures_in_a_row += 1;
-        if self.failures_in_a_row < FAILURES_TO_EJECT {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < FAILURES_TO_EJECT {
             return false;
         }
-        let doublings = self.failures_in_a_row - FAILURES_TO_EJECT;
-        self.ejected_until = Some(now + doubled(FIRST_EJECTION, doublings, LONGEST_EJECTION));
+        let doublings = self.consecutive_failures - FAILURES_TO_EJECT;
+        self.ejected_until = Some(now + doubled(MIN_EJECTION, doublings, MAX_EJECTION));
         true
     }
 
-    /// Whether requests are in flight there and no byte came for too long.
+    /// Whether requests are in flight and no byte arrived for longer than the silence timeout.
     pub fn is_silent(&self, now: Time) -> bool {
-        self.load.in_flight > 0 && now.since(self.silent_since) > SILENCE
+        self.load.in_flight > 0 && now.since(self.silent_since) > SILENCE_TIMEOUT
     }
 
-    /// Silence counts from now on.
-    pub(crate) fn restart_silence(&mut self, now: Time) {
+    /// Lets silence count from `now` on.
+    pub(crate) fn restart_silence_timer(&mut self, now: Time) {
         self.silent_since = now;
     }
 
-    /// What was seen of it, to compare others with.
-    pub(crate) fn record(&self, now: Time) -> MemberStats {
+    /// Statistics of the back end for the medians of its pool.
+    pub(crate) fn stats(&self, now: Time) -> MemberStats {
         MemberStats {
             failure_share: self.failure_share,
             first_byte_seconds: self.first_byte_seconds,
-            is_accused: self.is_accused(now),
+            is_reported_suspect: self.is_reported_suspect(now),
         }
     }
 
-    /// How well it stands for a request, among the members of its pool.
-    pub(crate) fn standing(&self, now: Time, pool: &PoolMedians, request: Retryability) -> Health {
+    /// Health of the back end for a request, compared with its pool.
+    pub(crate) fn health(&self, now: Time, pool: &PoolMedians, request: Retryability) -> Health {
         let ejected = self.ejected_until.is_some_and(|until| now < until);
         if ejected || self.is_silent(now) {
             return Health::Ejected;
         }
-        let failing = self.suspicion.is_suspect() && !self.allows_trial(now, request);
-        if failing || (pool.believes_accusations && self.is_accused(now)) {
+        let failing = self.outlier_detector.is_suspect() && !self.allows_trial(now, request);
+        if failing || (pool.trusts_suspect_reports && self.is_reported_suspect(now)) {
             return Health::Degraded;
         }
-        if self.is_slow(pool) && now.since(self.last_used) <= FORGET {
+        if self.is_slow(pool) && now.since(self.last_used) <= SLOW_STATE_TTL {
             return Health::Degraded;
         }
         Health::Good
     }
 
-    /// Whether a suspect may get this request: one at a time.
+    /// Whether a suspect back end may get this request as a trial; trials run one at a time.
     fn allows_trial(&self, now: Time, request: Retryability) -> bool {
-        self.load.in_flight == 0 && self.suspicion.allows_trial(now, request)
+        self.load.in_flight == 0 && self.outlier_detector.allows_trial(now, request)
     }
 
     fn is_slow(&self, pool: &PoolMedians) -> bool {
         match (self.first_byte_seconds, pool.first_byte_seconds) {
-            (Some(own), Some(mean)) => own > SLOW_FACTOR * mean,
+            (Some(own), Some(median)) => own > SLOW_FACTOR * median,
             _ => false,
         }
     }
 }
 
-/// The gate of a back end whose entry says that it is cold.
-fn cold_gate(entry: &BackEndEntry, now: Time) -> Option<SlowStartLimiter> {
+/// Creates the limiter for a back end whose entry says that it is cold.
+fn slow_start_limiter(entry: &BackEndEntry, now: Time) -> Option<SlowStartLimiter> {
     (entry.cold_for > Duration::ZERO).then(|| SlowStartLimiter::new(now + entry.cold_for, now))
 }
--- a/crates/stacktack-core/src/direct/back_ends/compact_delta.rs
+++ b/crates/stacktack-core/src/direct/back_ends/compact_delta.rs
@@ -1,7 +1,7 @@
-//! A short form of directory news, for the wire.
+//! Compact wire encoding of a directory delta.
 //!
-//! Labels are the same for many back ends and told once; births and revisions are told as distances
-//! from those of the news. An entry of 77 bytes takes about 31.
+//! Labels that many back ends share are sent once; start times and revisions are sent as
+//! differences from those of the delta. An entry of 77 bytes takes about 31 bytes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 use crate::configuration::selector::Labels;
 use crate::direct::back_ends::directory::{BackEndEntry, DirectoryDelta, RemovedEntry};
 
-/// A [`DirectoryDelta`] in short form.
+/// A [`DirectoryDelta`] in its compact form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactDelta {
     revision: u64,
     whole: bool,
-    /// Birth from which those of entries are told.
+    /// Latest start time among the entries, from which their `born` values are differences.
     born: u64,
-    /// Labels that entries name by their place here.
+    /// Distinct sets of labels, which entries refer to by index.
     labels: Vec<Labels>,
     present: Vec<CompactEntry>,
     gone: Vec<RemovedEntry>,
@@ -28,14 +28,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct CompactEntry {
     id: String,
-    /// From the birth of the news, around the range of numbers.
+    /// Wrapping difference from the start time of the delta.
     born: i64,
     address: SocketAddr,
     labels: usize,
     slots: u32,
     leaving: bool,
     cold_for: Duration,
-    /// From the revision of the news, around the range of numbers.
+    /// Wrapping difference from the revision of the delta.
     revision: i64,
 }
 
@@ -43,10 +43,10 @@
     fn from(delta: DirectoryDelta) -> Self {
         let born = delta.present.iter().map(|entry| entry.born).max();
         let born = born.unwrap_or_default();
-        let mut places: HashMap<Labels, usize> = HashMap::new();
+        let mut indexes: HashMap<Labels, usize> = HashMap::new();
         let mut labels = Vec::new();
         let present = delta.present.into_iter().map(|entry| {
-            let place = *places.entry(entry.labels).or_insert_with_key(|known| {
+            let index = *indexes.entry(entry.labels).or_insert_with_key(|known| {
                 labels.push(known.clone());
                 labels.len() - 1
             });
@@ -54,7 +54,7 @@
                 id: entry.id,
                 born: entry.born.wrapping_sub(born) as i64,
                 address: entry.address,
-                labels: place,
+                labels: index,
                 slots: entry.slots,
                 leaving: entry.leaving,
                 cold_for: entry.cold_for,
@@ -74,7 +74,7 @@
 }
 
 impl CompactDelta {
-    /// The news; `None` if an entry names labels that are not told.
+    /// Expands the delta; `None` if an entry refers to labels that are missing.
     pub fn into_delta(self) -> Option<DirectoryDelta> {
         let (revision, born, labels) = (self.revision, self.born, self.labels);
         let entry = |entry: CompactEntry| {
--- a/crates/stacktack-core/src/direct/back_ends/directory.rs
+++ b/crates/stacktack-core/src/direct/back_ends/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of back ends: its entries and what changes among them.
+//! Entries of the directory of back ends, and its deltas and changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,55 +8,55 @@
 
 use crate::configuration::selector::Labels;
 
-/// A back end as the directory describes it.
+/// Directory entry of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndEntry {
-    /// Id of the back end; a new life may have the same one.
+    /// Id of the back end; a later instance may have the same one.
     pub id: String,
-    /// Unix millisecond of the start of this life; 0 where it is not told.
+    /// Start of this instance, in Unix milliseconds; 0 if unknown.
     pub born: u64,
-    /// Where it listens.
+    /// Address on which the back end listens.
     pub address: SocketAddr,
-    /// Labels; pools are conditions on them.
+    /// Labels, by which pools select their members.
     pub labels: Labels,
-    /// Requests that it runs at once.
+    /// Number of requests that the back end runs at once.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the back end accepts no new requests.
     pub leaving: bool,
-    /// Time for which it stays cold, from the moment at which the entry was told.
+    /// Remaining time for which the back end is cold, from when the entry was sent.
     pub cold_for: Duration,
-    /// Revision of the directory at which the entry last changed.
+    /// Directory revision at which the entry last changed.
     pub revision: u64,
 }
 
 impl BackEndEntry {
-    /// Whether this is a later life of the same id than another entry tells of.
+    /// Whether this entry describes a later instance of the same id than `other`.
     pub fn is_newer_instance_than(&self, other: &BackEndEntry) -> bool {
         other.born != 0 && self.born > other.born
     }
 
-    /// The zone that it stands in, where its label says so.
+    /// Zone of the back end, if labelled.
     pub fn zone(&self) -> Option<&str> {
         self.labels.get(ZONE_LABEL).map(String::as_str)
     }
 
-    /// The service that it belongs to, where its label says so.
+    /// Service that the back end belongs to, if labelled.
     pub fn service(&self) -> Option<&str> {
         self.labels.get(SERVICE_LABEL).map(String::as_str)
     }
 
-    /// The version of its software; empty where no label says so.
+    /// Version of the back end's software; empty if not labelled.
     pub fn version(&self) -> &str {
         self.labels.get(VERSION_LABEL).map_or("", String::as_str)
     }
 }
 
-/// One life of a back end: its id and its birth.
+/// Hash that identifies one instance of a back end, by its id and start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId([u8; 4]);
 
 impl InstanceId {
-    /// The life that an entry of the directory describes.
+    /// Returns the id of the instance that a directory entry describes.
     pub fn of(entry: &BackEndEntry) -> Self {
         let hash = xxh3_64_with_seed(entry.id.as_bytes(), entry.born);
         let [first, second, third, fourth, ..] = hash.to_le_bytes();
@@ -64,17 +64,18 @@
     }
 }
 
-/// A life that ended without having said that it leaves, as far as the directory tells.
+/// Instance that left the directory, or was replaced there, without having been marked as
+/// leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VanishedInstance {
     /// Id of the back end.
     pub back_end: String,
-    /// Its life.
+    /// Id of the instance.
     pub instance: InstanceId,
 }
 
 impl VanishedInstance {
-    /// The life that an entry described, unless that was leaving.
+    /// Returns the instance that an entry described, unless the entry was marked as leaving.
     pub fn of(entry: &BackEndEntry) -> Option<Self> {
         (!entry.leaving).then(|| VanishedInstance {
             back_end: entry.id.clone(),
@@ -83,30 +84,30 @@
     }
 }
 
-/// An entry that left the directory.
+/// Removal of an entry from the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RemovedEntry {
     /// Id of the back end.
     pub id: String,
-    /// Revision of the directory at which it left, or by which it had left.
+    /// Directory revision at which, or before which, the entry was removed.
     pub revision: u64,
 }
 
-/// What changed in the directory after some revision.
+/// Changes of the directory after some revision, or a snapshot of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// Revision up to which the news is complete.
+    /// Revision up to which the delta is complete.
     pub revision: u64,
-    /// Whether `present` is the whole directory.
+    /// Whether `present` is a snapshot of the whole directory.
     pub whole: bool,
-    /// Entries that are new or changed.
+    /// Entries that are new or have changed.
     pub present: Vec<BackEndEntry>,
-    /// Entries that left.
+    /// Entries that were removed.
     pub gone: Vec<RemovedEntry>,
 }
 
 impl DirectoryDelta {
-    /// Whether it tells nothing: no list, and no change.
+    /// Whether the delta is neither a snapshot nor holds a change.
     pub fn is_empty(&self) -> bool {
         !self.whole && self.present.is_empty() && self.gone.is_empty()
     }
@@ -121,17 +122,17 @@
 /// Label that names the version of a back end's software.
 pub const VERSION_LABEL: &str = "version";
 
-/// What changed with a new list of the directory.
+/// Changes that an update of the directory made to the known back ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryChange {
-    /// Ids that were not known before.
+    /// Ids that are new.
     pub joined: Vec<String>,
-    /// Ids that were known under an earlier life.
+    /// Ids whose earlier instance was replaced by a later one.
     pub restarted: Vec<String>,
-    /// Lives that ended unplanned, of ids that are gone or in another life.
+    /// Instances that were removed or replaced without having been marked as leaving.
     pub vanished: Vec<VanishedInstance>,
-    /// Ids that take no new work from now on.
+    /// Ids that accept no new requests from now on.
     pub leaving: Vec<String>,
-    /// Ids that are gone.
+    /// Ids that were removed.
     pub gone: Vec<String>,
 }
--- a/crates/stacktack-core/src/direct/back_ends/health.rs
+++ b/crates/stacktack-core/src/direct/back_ends/health.rs
@@ -1,22 +1,23 @@
-//! How well back ends stand, each against the other members of its pool.
+//! Health of back ends, each compared with the other members of its pool.
 
-/// Share of a pool above which accusations are not believed: then something else
-/// is wrong.
-const ACCUSED_SHARE: f64 = 0.34;
+/// Share of a pool's members above which suspect reports are ignored: when so many members are
+/// reported, the fault lies elsewhere.
+const MAX_SUSPECT_SHARE: f64 = 0.34;
 
-/// How well a back end stands; lower is better.
+/// Outlier-detection state of a back end; lower is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Health {
-    /// Nothing speaks against it.
+    /// No sign of a fault.
     Good,
-    /// It fails or is slow clearly more often than its pool.
+    /// Clearly more failures or a clearly longer time to the first byte than the pool, or
+    /// reported as suspect by peers.
     Degraded,
-    /// It is silent, or connections to it fail.
+    /// Silent, or connections to the back end fail.
     Ejected,
 }
 
 impl Health {
-    /// Fixed word for logs.
+    /// Fixed text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Health::Good => "good",
@@ -26,50 +27,53 @@
     }
 }
 
-/// What a router saw of one member of a pool, as far as others are compared with it.
+/// Statistics of one pool member that enter the medians of the pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemberStats {
-    /// Share of its outcomes of late that were failures.
+    /// Moving average of the share of its outcomes that are failures.
     pub(crate) failure_share: f64,
-    /// Its usual time to the first byte.
+    /// Moving average of its time to the first byte, in seconds.
     pub(crate) first_byte_seconds: Option<f64>,
-    /// Whether peers accuse it.
-    pub(crate) is_accused: bool,
+    /// Whether enough peers report it as suspect.
+    pub(crate) is_reported_suspect: bool,
 }
 
-/// What is usual in a pool.
+/// Median values of a pool's members, against which each member is compared.
 pub(crate) struct PoolMedians {
-    /// Failure share of the middle member.
+    /// Median failure share.
     pub(crate) failure_share: f64,
-    /// Time to the first byte of the middle member.
+    /// Median time to the first byte, in seconds.
     pub(crate) first_byte_seconds: Option<f64>,
-    /// Whether so few members are accused that accusations are believed.
-    pub(crate) believes_accusations: bool,
+    /// Whether so few members are reported as suspect that the reports count.
+    pub(crate) trusts_suspect_reports: bool,
 }
 
 impl PoolMedians {
-    /// What is usual among these members.
+    /// Computes the medians of these members.
     pub(crate) fn of(members: impl Iterator<Item = MemberStats>) -> Self {
         let members: Vec<MemberStats> = members.collect();
         let shares = members.iter().map(|member| member.failure_share);
         let latencies = members
             .iter()
             .filter_map(|member| member.first_byte_seconds);
-        let accused = members.iter().filter(|member| member.is_accused).count();
+        let suspects = members
+            .iter()
+            .filter(|member| member.is_reported_suspect)
+            .count();
         PoolMedians {
-            failure_share: middle(shares.collect()).unwrap_or(0.0),
-            first_byte_seconds: middle(latencies.collect()),
-            believes_accusations: accused as f64 <= members.len() as f64 * ACCUSED_SHARE,
+            failure_share: median(shares.collect()).unwrap_or(0.0),
+            first_byte_seconds: median(latencies.collect()),
+            trusts_suspect_reports: suspects as f64 <= members.len() as f64 * MAX_SUSPECT_SHARE,
         }
     }
 }
 
-/// The middle one of some values.
-fn middle(mut values: Vec<f64>) -> Option<f64> {
+/// Median of the values; the upper one of the two middle values for an even number of them.
+fn median(mut values: Vec<f64>) -> Option<f64> {
     if values.is_empty() {
         return None;
     }
     let index = values.len() / 2;
-    let (_, middle, _) = values.select_nth_unstable_by(index, f64::total_cmp);
-    Some(*middle)
+    let (_, median, _) = values.select_nth_unstable_by(index, f64::total_cmp);
+    Some(*median)
 }
--- a/crates/stacktack-core/src/direct/back_ends/load.rs
+++ b/crates/stacktack-core/src/direct/back_ends/load.rs
@@ -1,82 +1,83 @@
-//! Requests in flight at a back end, of this router and of others.
+//! Estimate of the requests in flight at a back end, from this router and from others.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Age up to which the load that a back end told counts beside the peers' counts,
-/// where these are fresh: loads are told while a back end is busy, so that older ones
-/// make the mean look higher than it is.
-const TOLD_BESIDE_COUNTS: Duration = Duration::from_millis(300);
+/// Maximum age of a reported load that is combined with fresh counts from peers. Back ends
+/// report their load while they are busy, so that older reports bias the mean load upwards.
+const MAX_REPORT_AGE_BESIDE_PEER_COUNTS: Duration = Duration::from_millis(300);
 
-/// Age up to which the load that a back end told counts in place of what routers
-/// count themselves: in a fleet of 330 routers 95 of 100 are younger than 2.6 s
-/// (`tests/load_news`).
+/// Maximum age of a reported load that replaces the counts of the routers. In a fleet of 330
+/// routers, 95 of 100 reports are younger than 2.6 s.
 pub const MAX_REPORTED_LOAD_AGE: Duration = Duration::from_millis(5000);
 
-/// What a back end told of its load.
+/// Load that a back end last reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReportedLoad {
-    /// Requests that it ran and held, from all routers.
+pub struct LastReportedLoad {
+    /// Requests running and waiting at the back end, from all routers.
     pub requests: u32,
-    /// Those of them that are not this router's.
+    /// Requests among these that are from other routers.
     pub from_peers: f64,
-    /// When it told.
+    /// Time of the report.
     pub at: Time,
 }
 
-/// A request of this router was sent to a back end or ended there.
+/// Start or end of a request of this router at a back end.
 #[derive(Clone, Copy, Debug)]
 struct InFlightChange {
     sent: bool,
     at: Time,
 }
 
-/// Requests in flight at a back end, as far as known.
+/// Requests in flight at a back end, as far as this router knows.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndLoad {
-    /// Requests of this router in flight there.
+    /// Requests of this router.
     pub in_flight: u32,
-    /// Requests of other routers in flight there, as they last told.
+    /// Requests of other routers, by their own last counts.
     pub in_flight_from_peers: f64,
-    /// Whether what they told is as new as what the back end tells.
+    /// Whether the peers' counts are as recent as reports of the back end.
     pub peer_counts_are_fresh: bool,
-    last_told: Option<ReportedLoad>,
-    /// Sends and ends of late, to know what was in flight when a load was told.
+    last_report: Option<LastReportedLoad>,
+    /// Recent starts and ends of this router's requests, from which follows how many were in
+    /// flight at the time of a report.
     changes: VecDeque<InFlightChange>,
 }
 
 impl BackEndLoad {
-    /// Requests in flight there from all routers, as far as known. In a small fleet
-    /// that is the more of what the peers count and of what the back end told a
-    /// moment ago; in a large one, where the peers' counts are seconds old, what the
-    /// back end told of late to any router.
+    /// Estimated requests in flight from all routers: this router's own plus those of the
+    /// others. For the others, a small fleet uses the peers' counts, or a very recent report of
+    /// the back end if that is higher; a large fleet, where the peers' counts are seconds old,
+    /// uses the last report of the back end to any router.
     pub fn estimate(&self, now: Time) -> f64 {
-        let told = self.reported(now);
-        let elsewhere = match told {
-            Some(told) if !self.peer_counts_are_fresh => told.from_peers,
-            Some(told) if now.since(told.at) < TOLD_BESIDE_COUNTS => {
-                told.from_peers.max(self.in_flight_from_peers)
+        let report = self.reported(now);
+        let from_peers = match report {
+            Some(report) if !self.peer_counts_are_fresh => report.from_peers,
+            Some(report) if now.since(report.at) < MAX_REPORT_AGE_BESIDE_PEER_COUNTS => {
+                report.from_peers.max(self.in_flight_from_peers)
             }
             _ => self.in_flight_from_peers,
         };
-        f64::from(self.in_flight) + elsewhere
+        f64::from(self.in_flight) + from_peers
     }
 
-    /// What it told of its load, if that still counts.
-    pub fn reported(&self, now: Time) -> Option<ReportedLoad> {
-        let told = self.last_told?;
-        (now.since(told.at) < MAX_REPORTED_LOAD_AGE).then_some(told)
+    /// Last reported load, if it is not too old.
+    pub fn reported(&self, now: Time) -> Option<LastReportedLoad> {
+        let report = self.last_report?;
+        (now.since(report.at) < MAX_REPORTED_LOAD_AGE).then_some(report)
     }
 
-    /// Age of what it told of its load, where that is believed.
+    /// Age of the last reported load; `None` if there is none or the peers' counts are used
+    /// instead.
     pub fn reported_age(&self, now: Time) -> Option<Duration> {
-        let told = self.reported(now)?;
-        (!self.peer_counts_are_fresh).then(|| now.since(told.at))
+        let report = self.reported(now)?;
+        (!self.peer_counts_are_fresh).then(|| now.since(report.at))
     }
 
-    /// Age of what is known of its load; `None` where that is the own requests only.
+    /// Age of the data behind the estimate; `None` if there are neither fresh counts from peers
+    /// nor a recent report.
     pub fn estimate_age(&self, now: Time) -> Option<Duration> {
         if self.peer_counts_are_fresh {
             return Some(Duration::ZERO);
@@ -84,20 +85,20 @@
         self.reported_age(now)
     }
 
-    /// The back end told, at a time, all that it runs and holds, this router's
-    /// among it. Older news than what is known is left out.
+    /// Records a load that the back end reported at time `at`; `requests` includes those of
+    /// this router. A report older than the last one is ignored.
     pub fn on_report(&mut self, requests: u32, at: Time) {
-        if self.last_told.is_some_and(|known| known.at >= at) {
+        if self.last_report.is_some_and(|known| known.at >= at) {
             return;
         }
-        self.last_told = Some(ReportedLoad {
+        self.last_report = Some(LastReportedLoad {
             requests,
             from_peers: f64::from(requests.saturating_sub(self.in_flight_at(at))),
             at,
         });
     }
 
-    /// Requests of this router that were in flight there at a time of late.
+    /// Requests of this router that were in flight at a recent time.
     fn in_flight_at(&self, at: Time) -> u32 {
         let since = self
             .changes
@@ -113,7 +114,7 @@
         })
     }
 
-    fn note_change(&mut self, sent: bool, now: Time) {
+    fn record_change(&mut self, sent: bool, now: Time) {
         while let Some(first) = self.changes.front() {
             if now.since(first.at) < MAX_REPORTED_LOAD_AGE {
                 break;
@@ -123,15 +124,15 @@
         self.changes.push_back(InFlightChange { sent, at: now });
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent to the back end.
     pub fn on_send(&mut self, now: Time) {
         self.in_flight += 1;
-        self.note_change(true, now);
+        self.record_change(true, now);
     }
 
-    /// A request there ended or was given up.
+    /// Records that a request at the back end ended or was given up.
     pub fn on_end(&mut self, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.note_change(false, now);
+        self.record_change(false, now);
     }
 }
--- a/crates/stacktack-core/src/direct/back_ends/mod.rs
+++ b/crates/stacktack-core/src/direct/back_ends/mod.rs
@@ -1,13 +1,13 @@
-//! All back ends that a router knows, and what changed among them of late.
+//! All back ends that a router knows, and the recent changes of their directory.
 //!
-//! - [`directory`]: the entries of the directory.
-//! - [`back_end`]: what the router believes of one back end.
-//! - [`compact_delta`]: a short form of directory news, for the wire.
-//! - [`load`]: requests in flight at a back end.
-//! - [`slow_start`]: what the fleet sends a back end that is cold.
+//! - [`directory`]: entries, deltas and changes of the directory.
+//! - [`back_end`]: the state that the router keeps for one back end.
+//! - [`compact_delta`]: compact wire encoding of a directory delta.
+//! - [`load`]: estimate of the requests in flight at a back end.
+//! - [`slow_start`]: rate limit for the requests that the fleet sends to a cold back end.
 //! - [`health`]: outlier-detection state of a back end against its pool.
-//! - [`outlier_detector`]: whether a back end fails more often than its pool.
-//! - [`work_time`]: how long work takes at a back end, beside what is usual.
+//! - [`outlier_detector`]: sequential test whether a back end fails more often than its pool.
+//! - [`work_time`]: current duration of work at a back end, relative to its usual duration.
 //! - [`zone_drain`]: zones whose back ends get no requests.
 
 pub mod back_end;
@@ -32,28 +32,28 @@
 use crate::direct::peers::peer_news::{LoadNews, ShortId, TOLD_LOADS_PER_DATAGRAM};
 use crate::time::Time;
 
-/// Departures that are remembered, to tell peers what changed.
-const MAXIMUM_DEPARTURES: usize = 1024;
+/// Number of removed entries kept to answer peers that ask for the changes since a revision.
+const MAX_REMEMBERED_REMOVALS: usize = 1024;
 
 /// All back ends that a router knows.
 #[derive(Clone, Debug, Default)]
 pub struct BackEnds {
     members: HashMap<String, BackEnd>,
-    /// Departures after [`BackEnds::known_from`], the oldest first.
-    departures: VecDeque<RemovedEntry>,
-    /// Revision from which on every departure is remembered; `None` while no
-    /// whole directory was taken.
-    known_from: Option<u64>,
+    /// Entries removed after [`BackEnds::removals_known_after`], in the order of their removal.
+    removals: VecDeque<RemovedEntry>,
+    /// Revision after which every removal is remembered; `None` until the first snapshot of
+    /// the directory.
+    removals_known_after: Option<u64>,
 }
 
 impl BackEnds {
-    /// Takes one entry of the directory, unless something newer is known of it.
+    /// Inserts or updates one directory entry, unless a newer one of the same id is known.
     pub fn upsert(&mut self, entry: BackEndEntry, now: Time, change: &mut DirectoryChange) {
         match self.members.get_mut(&entry.id) {
             Some(known) if known.entry.revision > entry.revision => {}
             Some(known) if entry.born != 0 && known.entry.is_newer_instance_than(&entry) => {}
             Some(known) if entry.is_newer_instance_than(&known.entry) => {
-                // Nothing that was believed of the life before holds for this one.
+                // The state kept for the previous instance does not apply to this one.
                 change.restarted.push(entry.id.clone());
                 change.vanished.extend(VanishedInstance::of(&known.entry));
                 *known = BackEnd::new(entry, now);
@@ -62,14 +62,14 @@
                 if entry.leaving && !known.entry.leaving {
                     change.leaving.push(entry.id.clone());
                 }
-                known.take_entry(entry, now);
+                known.update_entry(entry, now);
             }
             None => self.join(entry, now, change),
         }
     }
 
     fn join(&mut self, entry: BackEndEntry, now: Time, change: &mut DirectoryChange) {
-        if self.left_after(&entry) {
+        if self.was_removed_since(&entry) {
             return;
         }
         change.joined.push(entry.id.clone());
@@ -77,32 +77,32 @@
             .insert(entry.id.clone(), BackEnd::new(entry, now));
     }
 
-    fn left_after(&self, entry: &BackEndEntry) -> bool {
-        self.departures
+    fn was_removed_since(&self, entry: &BackEndEntry) -> bool {
+        self.removals
             .iter()
-            .any(|departure| departure.id == entry.id && departure.revision >= entry.revision)
+            .any(|removed| removed.id == entry.id && removed.revision >= entry.revision)
     }
 
-    /// The directory no longer lists a back end, unless something newer is known
-    /// of it.
-    pub fn remove(&mut self, departure: RemovedEntry, change: &mut DirectoryChange) {
-        let known = self.members.get(&departure.id);
-        if known.is_none_or(|known| known.entry.revision > departure.revision) {
+    /// Removes a back end that the directory no longer lists, unless a newer entry of it is
+    /// known.
+    pub fn remove(&mut self, removed: RemovedEntry, change: &mut DirectoryChange) {
+        let known = self.members.get(&removed.id);
+        if known.is_none_or(|known| known.entry.revision > removed.revision) {
             return;
         }
-        if let Some(known) = self.members.remove(&departure.id) {
+        if let Some(known) = self.members.remove(&removed.id) {
             change.vanished.extend(VanishedInstance::of(&known.entry));
         }
-        change.gone.push(departure.id.clone());
-        self.departures.push_back(departure);
-        if self.departures.len() > MAXIMUM_DEPARTURES {
-            let oldest = self.departures.pop_front();
-            let forgotten = oldest.map(|departure| departure.revision);
-            self.known_from = self.known_from.max(forgotten);
+        change.gone.push(removed.id.clone());
+        self.removals.push_back(removed);
+        if self.removals.len() > MAX_REMEMBERED_REMOVALS {
+            let oldest = self.removals.pop_front();
+            let forgotten = oldest.map(|removed| removed.revision);
+            self.removals_known_after = self.removals_known_after.max(forgotten);
         }
     }
 
-    /// Members that a whole directory as of a revision does not list.
+    /// Known back ends that a directory snapshot of `revision` does not list.
     pub fn missing_from(&self, listed: &[BackEndEntry], revision: u64) -> Vec<RemovedEntry> {
         let listed: HashSet<&str> = listed.iter().map(|entry| entry.id.as_str()).collect();
         self.members
@@ -115,15 +115,17 @@
             .collect()
     }
 
-    /// A whole directory as of a revision was taken.
+    /// Records that a directory snapshot of `revision` was applied.
     pub fn on_snapshot(&mut self, revision: u64) {
-        self.known_from.get_or_insert(revision);
+        self.removals_known_after.get_or_insert(revision);
     }
 
-    /// What changed after a revision, as of `revision`; everything if not every
-    /// departure since then is remembered.
+    /// Changes after revision `after` up to `revision`; a snapshot if not every removal since
+    /// `after` is remembered.
     pub fn changes_after(&self, after: u64, revision: u64, now: Time) -> DirectoryDelta {
-        let whole = self.known_from.is_none_or(|known_from| after < known_from);
+        let whole = self
+            .removals_known_after
+            .is_none_or(|known_after| after < known_after);
         let changed = |at: u64| whole || at > after;
         DirectoryDelta {
             revision,
@@ -135,25 +137,25 @@
                 .map(|member| member.entry_at(now))
                 .collect(),
             gone: self
-                .departures
+                .removals
                 .iter()
-                .filter(|departure| changed(departure.revision))
+                .filter(|removed| changed(removed.revision))
                 .cloned()
                 .collect(),
         }
     }
 
-    /// A back end.
+    /// Returns the back end with this id.
     pub fn get(&self, id: &str) -> Option<&BackEnd> {
         self.members.get(id)
     }
 
-    /// A back end, to change what is believed of it.
+    /// Returns the back end with this id, for changes to its state.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut BackEnd> {
         self.members.get_mut(id)
     }
 
-    /// The back end that a short id stands for.
+    /// Returns the id of the back end that a short id stands for.
     pub fn resolve_short_id(&self, short: ShortId) -> Option<&str> {
         self.members
             .values()
@@ -161,17 +163,17 @@
             .map(|member| member.entry.id.as_str())
     }
 
-    /// All back ends.
+    /// Iterates over all back ends.
     pub fn iter(&self) -> impl Iterator<Item = &BackEnd> {
         self.members.values()
     }
 
-    /// All back ends, to change what is believed of them.
+    /// Iterates over all back ends, for changes to their state.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut BackEnd> {
         self.members.values_mut()
     }
 
-    /// Number of back ends that take new work.
+    /// Number of back ends that accept new requests.
     pub fn count_accepting_work(&self) -> usize {
         self.members
             .values()
@@ -179,8 +181,8 @@
             .count()
     }
 
-    /// Sets what this router may send to members that are cold. Returns the ids of those
-    /// that are cold no longer.
+    /// Sets the rate at which this router may send to each cold back end. Returns the ids of
+    /// the back ends whose slow start has ended.
     pub fn update_slow_start(
         &mut self,
         slow_starts: &[SlowStart],
@@ -188,11 +190,11 @@
         now: Time,
     ) -> Vec<String> {
         let mut warm = Vec::new();
-        let gated = self
+        let limited = self
             .members
             .values_mut()
             .filter(|member| member.is_rate_limited());
-        for member in gated {
+        for member in limited {
             let rate = SlowStart::for_labels(slow_starts, &member.entry.labels)
                 .map(|slow_start| slow_start.router_rate(fleet, member.id_hash));
             if member.update_slow_start(rate, now) {
@@ -202,9 +204,9 @@
         warm
     }
 
-    /// A zone's drain has ended: its members may have turned cold meanwhile, and their
-    /// entries say so later than the drain ends. Returns the number of those that are
-    /// taken to be cold.
+    /// Assumes that all back ends of a zone are cold, once the zone's drain has ended: they may
+    /// have become cold during the drain, and their directory entries show that only after its
+    /// end. Returns the number of back ends that are assumed to be cold.
     pub fn assume_cold(&mut self, zone: &str, slow_starts: &[SlowStart], now: Time) -> usize {
         let mut count = 0;
         for member in self.members.values_mut() {
@@ -219,25 +221,25 @@
         count
     }
 
-    /// Members that take new work and meet the test, each with its standing for
-    /// a request.
+    /// Back ends that accept new requests and match `meets`, each with its health for a
+    /// request.
     pub fn pool(
         &mut self,
         now: Time,
         request: Retryability,
-        meets: impl Fn(&BackEndEntry) -> bool,
+        matches: impl Fn(&BackEndEntry) -> bool,
     ) -> Vec<(&BackEnd, Health)> {
         let members = self
             .members
             .values_mut()
-            .filter(|member| !member.entry.leaving && meets(&member.entry))
+            .filter(|member| !member.entry.leaving && matches(&member.entry))
             .collect();
-        standings(members, now, request)
+        assess_pool(members, now, request)
     }
 
-    /// Loads that members told of late, the newest first.
+    /// Recently reported loads of back ends, newest first, limited to one datagram.
     pub fn reported_loads(&self, now: Time) -> Vec<LoadNews> {
-        let mut told: Vec<LoadNews> = self
+        let mut reported: Vec<LoadNews> = self
             .members
             .values()
             .filter_map(|member| {
@@ -245,13 +247,13 @@
                 LoadNews::new(ShortId::of(member.id_hash), load.requests, load.at, now)
             })
             .collect();
-        told.sort_unstable_by_key(|news| (news.age(), news.back_end));
-        told.truncate(TOLD_LOADS_PER_DATAGRAM);
-        told
+        reported.sort_unstable_by_key(|load| (load.age(), load.back_end));
+        reported.truncate(TOLD_LOADS_PER_DATAGRAM);
+        reported
     }
 
-    /// What this router has in flight at members, the largest first; without `all`
-    /// only at those that told no load of late.
+    /// Requests of this router in flight at each back end, largest number first; without `all`
+    /// only at back ends without a recently reported load.
     pub fn own_loads(&self, all: bool, now: Time) -> Vec<(ShortId, u16)> {
         let mut loads: Vec<(ShortId, u16)> = self
             .members
@@ -267,15 +269,15 @@
         loads
     }
 
-    /// Takes loads that back ends told another router.
-    pub fn merge_reported_loads(&mut self, news: &[LoadNews], now: Time) {
-        if news.is_empty() {
+    /// Merges loads that back ends reported to another router.
+    pub fn merge_reported_loads(&mut self, reported: &[LoadNews], now: Time) {
+        if reported.is_empty() {
             return;
         }
-        let news: HashMap<ShortId, &LoadNews> =
-            news.iter().map(|load| (load.back_end, load)).collect();
+        let reported: HashMap<ShortId, &LoadNews> =
+            reported.iter().map(|load| (load.back_end, load)).collect();
         for member in self.members.values_mut() {
-            if let Some(load) = news.get(&ShortId::of(member.id_hash)) {
+            if let Some(load) = reported.get(&ShortId::of(member.id_hash)) {
                 member
                     .load
                     .on_report(u32::from(load.requests), load.told_at(now));
@@ -283,41 +285,42 @@
         }
     }
 
-    /// The machine was suspended until now: that nothing came meanwhile says nothing of members.
+    /// Restarts all silence timers after the machine was suspended until `now`: nothing could
+    /// arrive meanwhile, so that silence does not count against a back end.
     pub fn on_suspended(&mut self, now: Time) {
         for member in self.members.values_mut() {
-            member.restart_silence(now);
+            member.restart_silence_timer(now);
         }
     }
 
-    /// Short ids of members that this router suspects, at most `most`. Silence is
-    /// not told: where many requests wait it comes and goes, and a fleet that
-    /// passes by a back end all at once overloads the next ones.
-    pub fn suspects(&self, most: usize) -> Vec<ShortId> {
+    /// Short ids of at most `limit` back ends that this router suspects, for gossip. Silent back
+    /// ends are not included: where many requests wait, silence comes and goes, and a fleet
+    /// that avoids a back end all at once overloads the next ones.
+    pub fn suspects(&self, limit: usize) -> Vec<ShortId> {
         self.members
             .values()
             .filter(|member| member.is_suspect())
             .map(|member| ShortId::of(member.id_hash))
-            .take(most)
+            .take(limit)
             .collect()
     }
 }
 
-/// The members of a pool, each with its standing for a request.
-fn standings(
+/// Returns the members of a pool, each with its health for a request.
+fn assess_pool(
     mut members: Vec<&mut BackEnd>,
     now: Time,
     request: Retryability,
 ) -> Vec<(&BackEnd, Health)> {
-    let means = PoolMedians::of(members.iter().map(|member| member.record(now)));
+    let medians = PoolMedians::of(members.iter().map(|member| member.stats(now)));
     for member in &mut members {
-        member.usual_failure_share = means.failure_share;
+        member.pool_failure_share = medians.failure_share;
     }
     members
         .into_iter()
         .map(|member| {
-            let standing = member.standing(now, &means, request);
-            (&*member, standing)
+            let health = member.health(now, &medians, request);
+            (&*member, health)
         })
         .collect()
 }
--- a/crates/stacktack-core/src/direct/back_ends/outlier_detector.rs
+++ b/crates/stacktack-core/src/direct/back_ends/outlier_detector.rs
@@ -1,89 +1,94 @@
-//! Whether a back end fails more often than its pool: a sequential test.
+//! Sequential test (CUSUM) whether a back end fails more often than its pool.
 //!
-//! A router of a large fleet sends each back end less than one request a
-//! second, so that a share over many outcomes comes too late. Each outcome moves
-//! a score by the logarithm of how much likelier it is at a failing back end
-//! than at a usual one (CUSUM). Where failures are rare a single one is enough;
-//! where they are usual it takes several.
+//! A router of a large fleet sends each back end less than one request per second, so that a
+//! failure share over many outcomes comes too late. Instead each outcome adds to a
+//! score the logarithm of how much likelier it is at a failing back end than at a normal one.
+//! Where failures are rare, a single one is enough to suspect a back end; where they are common,
+//! it takes several.
 //!
-//! A suspect is passed by for a while, longer each time. Then it gets one
-//! request at a time, at first only such as may be repeated elsewhere.
+//! A suspect back end is avoided for a pause that doubles with each further failure. Then it
+//! gets one request at a time, at first only requests that can be retried at another back end.
 
 use std::time::Duration;
 
 use crate::retry::doubled;
 use crate::time::Time;
 
-/// Failure share that is assumed of a failing back end.
+/// Failure share that the test assumes for a failing back end.
 const FAILING_SHARE: f64 = 0.6;
 
-/// Bounds of the failure share that is taken for usual.
-const LEAST_USUAL_SHARE: f64 = 0.02;
-const MOST_USUAL_SHARE: f64 = 0.5;
+/// Lower bound of the failure share that the test assumes for a normal back end.
+const MIN_NORMAL_SHARE: f64 = 0.02;
 
-/// Score from which a back end is suspect: 20 times likelier failing than not.
-const SUSPECT: f64 = 3.0;
+/// Upper bound of the failure share that the test assumes for a normal back end.
+const MAX_NORMAL_SHARE: f64 = 0.5;
 
-/// Largest score, so that a few good outcomes clear a back end.
-const LARGEST_SCORE: f64 = 4.5;
+/// Score from which a back end is suspect: its outcomes are then 20 times likelier at a failing
+/// back end than at a normal one.
+const SUSPECT_SCORE: f64 = 3.0;
 
-/// Time for which a suspect is passed by: at first and at most.
-const FIRST_PAUSE: Duration = Duration::from_millis(1000);
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum score, so that a few successful outcomes clear a back end.
+const MAX_SCORE: f64 = 4.5;
 
-/// Time beyond that pause in which a suspect gets no request whose failure would
-/// be final.
-const FINAL_REQUEST_PAUSE: Duration = Duration::from_secs(3);
+/// First pause during which a suspect back end is avoided; it doubles with each further failure.
+const MIN_PAUSE: Duration = Duration::from_millis(1000);
 
-/// What a failure costs a request.
+/// Maximum pause during which a suspect back end is avoided.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
+
+/// Time after the pause during which a suspect back end is still avoided by requests that
+/// cannot be retried.
+const NOT_RETRYABLE_PAUSE: Duration = Duration::from_secs(3);
+
+/// Whether a request can be retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retryability {
-    /// It can be sent to another back end.
+    /// The request can be sent to another back end.
     Retryable,
-    /// It is final.
+    /// A failure is final for the request.
     NotRetryable,
 }
 
-/// What outcomes say of one back end.
+/// Sequential test over the outcomes of one back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
     score: f64,
-    /// Until when a suspect is passed by.
-    until: Time,
-    /// Times that it became or stayed suspect without being cleared.
-    failures: u32,
+    /// End of the pause of a suspect back end.
+    pause_until: Time,
+    /// Failures that made or kept the back end suspect since it was last cleared.
+    suspect_failures: u32,
 }
 
 impl OutlierDetector {
-    /// An attempt ended; `usual_share` is the failure share of the pool.
-    pub fn on_outcome(&mut self, failed: bool, usual_share: f64, now: Time) {
-        let usual = usual_share.clamp(LEAST_USUAL_SHARE, MOST_USUAL_SHARE);
-        let likelier = if failed {
-            FAILING_SHARE / usual
+    /// Records the outcome of an attempt; `pool_share` is the failure share of the pool.
+    pub fn on_outcome(&mut self, failed: bool, pool_share: f64, now: Time) {
+        let normal_share = pool_share.clamp(MIN_NORMAL_SHARE, MAX_NORMAL_SHARE);
+        let likelihood_ratio = if failed {
+            FAILING_SHARE / normal_share
         } else {
-            (1.0 - FAILING_SHARE) / (1.0 - usual)
+            (1.0 - FAILING_SHARE) / (1.0 - normal_share)
         };
-        self.score = (self.score + likelier.ln()).clamp(0.0, LARGEST_SCORE);
+        self.score = (self.score + likelihood_ratio.ln()).clamp(0.0, MAX_SCORE);
         if !self.is_suspect() {
-            self.failures = 0;
+            self.suspect_failures = 0;
         } else if failed {
-            self.until = now + doubled(FIRST_PAUSE, self.failures, LONGEST_PAUSE);
-            self.failures += 1;
+            self.pause_until = now + doubled(MIN_PAUSE, self.suspect_failures, MAX_PAUSE);
+            self.suspect_failures += 1;
         }
     }
 
-    /// Whether it fails more often than usual.
+    /// Whether the back end fails more often than its pool.
     pub fn is_suspect(&self) -> bool {
-        self.score >= SUSPECT
+        self.score >= SUSPECT_SCORE
     }
 
-    /// Whether a suspect may get a request again, to see whether it still fails:
-    /// first one that may be repeated elsewhere, and after a longer time any.
+    /// Whether a suspect back end may get this request as a trial: a retryable one after the
+    /// pause, any other one `NOT_RETRYABLE_PAUSE` later.
     pub fn allows_trial(&self, now: Time, request: Retryability) -> bool {
-        let more = match request {
+        let extra_pause = match request {
             Retryability::Retryable => Duration::ZERO,
-            Retryability::NotRetryable => FINAL_REQUEST_PAUSE,
+            Retryability::NotRetryable => NOT_RETRYABLE_PAUSE,
         };
-        now >= self.until + more
+        now >= self.pause_until + extra_pause
     }
 }
--- a/crates/stacktack-core/src/direct/back_ends/work_time.rs
+++ b/crates/stacktack-core/src/direct/back_ends/work_time.rs
@@ -1,32 +1,33 @@
-//! How long work takes at a back end at a moment, beside what is usual there.
+//! Current duration of work at a back end, relative to its usual duration.
 //!
-//! Machines that back ends share with others do their work now faster, now slower.
+//! The speed of a back end varies when its machine is shared with other workloads.
 
-/// What is usual, in hundredths of it.
-const USUAL: u32 = 100;
+/// Usual duration of work, in hundredths of itself.
+const USUAL_HUNDREDTHS: u32 = 100;
 
-/// The longest that is believed: a hundred times what is usual.
-const LONGEST: f64 = 10_000.0;
+/// Longest accepted duration, in hundredths: a hundred times the usual one.
+const MAX_HUNDREDTHS: f64 = 10_000.0;
 
-/// How long work takes, as a multiple of what is usual.
+/// Current duration of work as a multiple of its usual duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkTimeFactor {
     hundredths: u32,
 }
 
 impl WorkTimeFactor {
-    /// From hundredths of what is usual; `None` for what no machine can mean.
+    /// Creates the factor from hundredths of the usual duration; `None` if the rounded value is
+    /// not between 1 and 10,000.
     pub fn from_hundredths(value: f64) -> Option<Self> {
         let rounded = value.round();
-        (1.0..=LONGEST)
+        (1.0..=MAX_HUNDREDTHS)
             .contains(&rounded)
             .then_some(WorkTimeFactor {
                 hundredths: rounded as u32,
             })
     }
 
-    /// Multiple of what is usual: 2 where work takes twice as long.
+    /// Multiple of the usual duration: 2 if work takes twice as long.
     pub fn factor(self) -> f64 {
-        f64::from(self.hundredths) / f64::from(USUAL)
+        f64::from(self.hundredths) / f64::from(USUAL_HUNDREDTHS)
     }
 }
--- a/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
+++ b/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
@@ -1,10 +1,8 @@
-//! Zones that an operator drains: their back ends get no request until the drain is
-//! taken back.
+//! Zones that an operator drains: their back ends get no requests until the drain ends.
 //!
-//! Each zone is a register that the newest revision of the operator's store decides, so
-//! that routers may tell each other what they know in any order and as often as they
-//! like. A drain that was taken back is remembered: late news of it must not begin it
-//! anew.
+//! Each zone is a last-writer-wins register, ordered by the revision of the operator's store,
+//! so that routers can gossip their registers in any order and repeatedly. A register is kept
+//! after its drain has ended: late gossip must not start the drain again.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +10,32 @@
 
 use crate::direct::back_ends::directory::BackEndEntry;
 
-/// Registers that one router remembers and tells: a deployment has some ten zones, and
-/// each takes some 25 bytes of a datagram.
-const MAXIMUM_ZONES: usize = 16;
+/// Maximum number of zones that a router remembers and gossips. A deployment has about ten
+/// zones, and each takes about 25 bytes of a datagram.
+const MAX_ZONES: usize = 16;
 
-/// What an operator last asked for one zone.
+/// Last drain request of an operator for one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDrain {
-    /// The zone's label.
+    /// Label of the zone.
     pub zone: String,
-    /// Whether it is drained.
+    /// Whether the zone is drained.
     pub drained: bool,
-    /// Revision of the store at which that was asked for.
+    /// Revision of the store at which the operator made the request.
     pub revision: u64,
 }
 
-/// News of drains from the operator's store.
+/// Update of zone drains from the operator's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneDrainUpdate {
-    /// What was asked for or taken back.
+    /// Drains that were started or ended.
     pub changes: Vec<ZoneDrain>,
-    /// Revision as of which `changes` holds every zone that is drained; `None` where it
-    /// holds changes only.
+    /// Revision as of which `changes` holds every drained zone; `None` if it holds only
+    /// changes.
     pub snapshot_revision: Option<u64>,
 }
 
-/// What is known of every zone.
+/// Drain registers of all known zones.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneDrains(BTreeMap<String, Register>);
 
@@ -53,40 +51,40 @@
         self.0.get(zone).is_some_and(|register| register.drained)
     }
 
-    /// Whether a back end stands in a zone that is drained.
+    /// Whether a back end is in a drained zone.
     pub fn covers(&self, entry: &BackEndEntry) -> bool {
         entry.zone().is_some_and(|zone| self.is_drained(zone))
     }
 
-    /// Number of zones that are drained.
+    /// Number of drained zones.
     pub fn drained_count(&self) -> usize {
         self.0.values().filter(|register| register.drained).count()
     }
 
-    /// Takes news of one zone. Returns whether the zone is drained from now on, or no
-    /// longer.
-    pub fn merge(&mut self, news: &ZoneDrain) -> bool {
-        let known = self.0.get(&news.zone);
-        if known.is_some_and(|known| known.revision >= news.revision) {
+    /// Merges the drain request of one zone if it is newer than the known one. Returns whether
+    /// this starts or ends a drain.
+    pub fn merge(&mut self, drain: &ZoneDrain) -> bool {
+        let known = self.0.get(&drain.zone);
+        if known.is_some_and(|known| known.revision >= drain.revision) {
             return false;
         }
         let was_drained = known.is_some_and(|known| known.drained);
         let register = Register {
-            drained: news.drained,
-            revision: news.revision,
+            drained: drain.drained,
+            revision: drain.revision,
         };
-        self.0.insert(news.zone.clone(), register);
+        self.0.insert(drain.zone.clone(), register);
         self.forget_oldest();
-        was_drained != news.drained
+        was_drained != drain.drained
     }
 
-    /// Drains that have ended, where news tells all of them as of a revision: zones that
-    /// are not among them.
-    pub fn ended_drains(&self, news: &ZoneDrainUpdate) -> Vec<ZoneDrain> {
-        let Some(revision) = news.snapshot_revision else {
+    /// Drains that have ended according to a snapshot: drained zones that it does not list.
+    /// Empty if the update is not a snapshot.
+    pub fn ended_drains(&self, update: &ZoneDrainUpdate) -> Vec<ZoneDrain> {
+        let Some(revision) = update.snapshot_revision else {
             return Vec::new();
         };
-        let listed = |zone: &str| news.changes.iter().any(|change| change.zone == zone);
+        let listed = |zone: &str| update.changes.iter().any(|change| change.zone == zone);
         let ended = self
             .0
             .iter()
@@ -100,7 +98,7 @@
             .collect()
     }
 
-    /// All that is known, to tell other routers.
+    /// Registers of all known zones, to send to peers.
     pub fn gossip(&self) -> Vec<ZoneDrain> {
         let all = self.0.iter();
         all.map(|(zone, register)| ZoneDrain {
@@ -111,9 +109,10 @@
         .collect()
     }
 
-    /// Drops the register that changed longest ago, one that is not drained first.
+    /// Drops the register with the lowest revision if there are too many; registers of zones
+    /// that are not drained go first.
     fn forget_oldest(&mut self) {
-        if self.0.len() <= MAXIMUM_ZONES {
+        if self.0.len() <= MAX_ZONES {
             return;
         }
         let oldest = self
