--- a/crates/stacktack-core/src/direct/back_ends/slow_start.rs
+++ b/crates/stacktack-core/src/direct/back_ends/slow_start.rs
@@ -16,7 +16,7 @@
 use crate::configuration::selector::{matches_all, Labels, Requirement};
 use crate::time::Time;
 
-/// Share of the rate that a cold back end handles which the fleet may send.
+/// Share of a cold back end's rate that the fleet may use.
 const FLEET_RATE_SHARE: f64 = 0.8;
 
 /// Routers selected for a cold back end, for each request per second that it handles. Each of
--- a/crates/stacktack-core/src/direct/sources/adaptive_timeout.rs
+++ b/crates/stacktack-core/src/direct/sources/adaptive_timeout.rs
@@ -36,7 +36,8 @@
         self.lateness = lateness.max(self.lateness.mul_f64(LATENESS_DECAY));
     }
 
-    /// Known lateness: the maximum of recent answers, which decays with each earlier one.
+    /// Known lateness of answers: it rises at once to that of a later answer and decays with each
+    /// quicker one.
     pub fn lateness(&self) -> Duration {
         self.lateness
     }
