--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -14,16 +14,16 @@
 use stacktack_core::direct::traffic::route::{Route, Tenant, TrafficConfiguration};
 use stacktack_core::time::Time;
 
-use crate::answer::AnswerBody;
-use crate::counted::Counted;
+use crate::count_guard::CountGuard;
 use crate::exchange::{Exchange, Outcome};
 use crate::ports::{CallerRequest, RefusalKind};
 use crate::quarantine::digest_of;
 use crate::respond::{refuse_early, respond};
+use crate::response_body::ResponseBody;
 use crate::router::{Phase, Router};
 
 /// Answers one request.
-pub async fn answer(router: Rc<Router>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn answer(router: Rc<Router>, request: Request<Incoming>) -> Response<ResponseBody> {
     router.look_for_suspension();
     let started = router.now();
     let (head, body) = request.into_parts();
@@ -77,7 +77,7 @@
         return Err(refused(RefusalKind::Stopping));
     }
     // A process that stops waits for it.
-    let arriving = Counted::begin(router.clone(), |router| &router.arriving);
+    let arriving = CountGuard::new(router.clone(), |router| &router.arriving);
     let limited = Limited::new(body, configuration.limits.body_bytes);
     let collected = tokio::select! {
         biased;
@@ -127,18 +127,18 @@
         version,
         started,
         run,
-        taken_as_last,
-        limit,
+        admitted_after_deregistration: taken_as_last,
+        deadline: limit,
         digest,
-        look: None,
-        ledger: AttemptHistory::default(),
-        in_doubt: false,
-        is_repeat_granted: false,
+        crash_probe: None,
+        history: AttemptHistory::default(),
+        attempt_in_flight: false,
+        is_retry_granted: false,
         tried: Vec::new(),
         admitted: false,
-        returned: false,
-        ends_too_soon: false,
-        come_back: None,
+        has_returned: false,
+        no_time_before_stop: false,
+        retry_after: None,
         outcome: Outcome::Open,
     }))
 }
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -20,7 +20,7 @@
 use crate::router::Router;
 
 /// A failed answer of a back end, kept in case no better one comes.
-pub struct StoredAnswer {
+pub struct FailedResponse {
     /// Head.
     pub head: response::Parts,
     /// Body.
@@ -28,11 +28,11 @@
 }
 
 /// How an attempt ended.
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// The head of an answer that can go to the caller.
     Answer(Response<Incoming>, Attempt),
     /// No such answer.
-    Failure(AttemptFailure, Option<StoredAnswer>),
+    Failure(AttemptFailure, Option<FailedResponse>),
     /// There was nobody to ask.
     NoBackEnd,
     /// All back ends that could be asked are full.
--- a/crates/stacktack-direct/src/silence.rs
+++ b/crates/stacktack-direct/src/attempt_timeout.rs
@@ -10,38 +10,38 @@
 
 /// Whether the caller has a part of the answer already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerProgress {
+pub(crate) enum ResponseProgress {
     /// The head of the answer is awaited.
     NotBegun,
     /// A stream is under way.
     Begun,
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     /// For an attempt that continues a stream after an event, or begins the answer.
     pub(crate) fn of(resume_after: Option<&str>) -> Self {
         match resume_after {
-            Some(_) => AnswerProgress::Begun,
-            None => AnswerProgress::NotBegun,
+            Some(_) => ResponseProgress::Begun,
+            None => ResponseProgress::NotBegun,
         }
     }
 }
 
 impl Exchange {
     /// Whether its stream is under way, also where its caller continues it: that goes before new work.
-    pub(crate) fn is_under_way(&self, progress: AnswerProgress) -> bool {
-        progress == AnswerProgress::Begun || self.caller.resume_after.is_some()
+    pub(crate) fn is_under_way(&self, progress: ResponseProgress) -> bool {
+        progress == ResponseProgress::Begun || self.caller.resume_after.is_some()
     }
 
     /// Whether the silent attempt that is under way is left. If so, a repeat is granted, which the
     /// next attempt uses.
-    pub(crate) fn leaves_silent_attempt(&mut self, progress: AnswerProgress) -> bool {
+    pub(crate) fn leaves_silent_attempt(&mut self, progress: ResponseProgress) -> bool {
         let may_be_repeated = self.may_repeat_next() && self.treatment() < Treatment::Probation;
         let leaves = may_be_repeated
             && self.has_time_elsewhere(progress)
             && self.has_room_elsewhere(progress)
             && self.router.take_retry(&self.id, self.pool());
-        self.is_repeat_granted = leaves;
+        self.is_retry_granted = leaves;
         log::info!(
             target: "attempt",
             "id={} back_end={} silent=true left={leaves} repeatable={may_be_repeated} ms={}",
@@ -58,19 +58,19 @@
             target: "attempt",
             "id={} back_end={back_end} silent=true awaited_again=true sends={} ms={}",
             self.id,
-            self.ledger.sends,
+            self.history.sends,
             self.elapsed().as_millis(),
         );
     }
 
     /// Whether another attempt has time before the process ends. A stream under way loses nothing by
     /// one that has not.
-    fn has_time_elsewhere(&mut self, progress: AnswerProgress) -> bool {
-        progress == AnswerProgress::Begun || self.has_time_for_another()
+    fn has_time_elsewhere(&mut self, progress: ResponseProgress) -> bool {
+        progress == ResponseProgress::Begun || self.has_time_for_another()
     }
 
     /// Whether a back end that was not tried has room, and is not as silent itself.
-    fn has_room_elsewhere(&self, progress: AnswerProgress) -> bool {
+    fn has_room_elsewhere(&self, progress: ResponseProgress) -> bool {
         let is_under_way = self.is_under_way(progress);
         let limit = (!is_under_way).then(|| self.repeat_slot_limit());
         let choice = self.select(limit);
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -124,7 +124,7 @@
 
     /// Takes for each member the load that is to be expected from the age of its news,
     /// and the limit that follows from the load of the pool.
-    pub fn judge_by(&mut self, pool: &PoolLoad, hold_seconds: f64) {
+    pub fn apply_pool_load(&mut self, pool: &PoolLoad, hold_seconds: f64) {
         for (candidate, report) in self.list.iter_mut().zip(&self.reports) {
             candidate.load = if candidate.eligible {
                 pool.expected_load(report, hold_seconds)
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -88,12 +88,12 @@
 impl Exchange {
     /// Chooses a back end that was not tried; `None` when there is none.
     pub(crate) fn select(&self, limit: Option<SlotLimit>) -> Option<Choice> {
-        let mut candidates = self
-            .router
-            .candidates(self.pool(), &self.tried, self.risk(), limit);
+        let mut candidates =
+            self.router
+                .candidates(self.pool(), &self.tried, self.retryability(), limit);
         let pool_load = candidates.pool_load();
         if let (Some(pool), Some(hold)) = (pool_load, self.hold_seconds()) {
-            candidates.judge_by(&pool, hold);
+            candidates.apply_pool_load(&pool, hold);
         }
         let mut bounds = SelectBounds::for_load_cap(self.router.bounds().load_cap);
         if pool_load.is_some_and(|pool| pool.is_full()) {
@@ -140,7 +140,7 @@
     }
 
     /// What a failure of the next attempt costs.
-    pub(crate) fn risk(&self) -> Retryability {
+    pub(crate) fn retryability(&self) -> Retryability {
         if self.may_repeat_next() {
             Retryability::Retryable
         } else {
--- a/crates/stacktack-direct/src/counted.rs
+++ b/crates/stacktack-direct/src/count_guard.rs
@@ -6,21 +6,21 @@
 use crate::router::Router;
 
 /// One of what a count of the router tells.
-pub(crate) struct Counted {
+pub(crate) struct CountGuard {
     router: Rc<Router>,
     count: fn(&Router) -> &Cell<usize>,
 }
 
-impl Counted {
+impl CountGuard {
     /// One more, until this is dropped.
-    pub(crate) fn begin(router: Rc<Router>, count: fn(&Router) -> &Cell<usize>) -> Self {
+    pub(crate) fn new(router: Rc<Router>, count: fn(&Router) -> &Cell<usize>) -> Self {
         let cell = count(&router);
         cell.set(cell.get() + 1);
-        Counted { router, count }
+        CountGuard { router, count }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let cell = (self.count)(&self.router);
         cell.set(cell.get() - 1);
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/crash_detection.rs
@@ -37,13 +37,13 @@
 const NAMED: usize = 12;
 
 /// A look that is under way or was just done, and its end.
-pub(crate) struct Look {
+pub(crate) struct CrashProbe {
     begun: Time,
-    done: LookEnd,
+    done: CrashProbeDone,
 }
 
 /// Resolves when a look is over.
-pub(crate) type LookEnd = Shared<LocalBoxFuture<'static, ()>>;
+pub(crate) type CrashProbeDone = Shared<LocalBoxFuture<'static, ()>>;
 
 /// A back end as a look finds it.
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
         &self,
         attempt: &Attempt,
         failure: AttemptFailure,
-    ) -> Option<LookEnd> {
+    ) -> Option<CrashProbeDone> {
         if !matches!(failure, AttemptFailure::Broken | AttemptFailure::TimedOut) {
             return None;
         }
@@ -89,14 +89,14 @@
 
 /// Looks whether a back end still accepts connections; one look serves all who ask at
 /// about the same time, and goes on when they leave.
-fn look_at(router: &Rc<Router>, subject: Subject) -> LookEnd {
+fn look_at(router: &Rc<Router>, subject: Subject) -> CrashProbeDone {
     let now = router.now();
     let mut looks = router.looks.borrow_mut();
     looks.retain(|_, look| now.since(look.begun) < LOOK_AGAIN);
     let known = looks.entry(subject.life).or_insert_with(|| {
         let done = look(router.clone(), subject).boxed_local().shared();
         actix_rt::spawn(done.clone());
-        Look { begun: now, done }
+        CrashProbe { begun: now, done }
     });
     known.done.clone()
 }
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -18,10 +18,10 @@
 use stacktack_core::direct::traffic::route::{Route, Tenant};
 use stacktack_core::time::Time;
 
-use crate::attempt::{Attempt, AttemptEnd, StoredAnswer};
-use crate::back_end_end::LookEnd;
-use crate::held::HeldAnswer;
+use crate::attempt::{Attempt, AttemptOutcome, FailedResponse};
+use crate::crash_detection::CrashProbeDone;
 use crate::ports::{CallerRequest, RefusalKind};
+use crate::response_buffering::ForwardedResponse;
 use crate::router::{Phase, Router};
 
 /// How a request ended, for its log line and metrics.
@@ -52,11 +52,11 @@
 }
 
 /// What can go to the caller.
-pub(crate) enum ExchangeEnd {
+pub(crate) enum ExchangeResult {
     /// A back end's answer, and the attempt that it came from.
-    Answer(HeldAnswer, Box<Attempt>),
+    Answer(ForwardedResponse, Box<Attempt>),
     /// A back end's failure: nobody gave a better answer.
-    FailedAnswer(StoredAnswer),
+    FailedAnswer(FailedResponse),
     /// Nobody gave an answer.
     Refused(RefusalKind),
 }
@@ -76,34 +76,34 @@
     /// Its entry in the run times of its route.
     pub(crate) run: RunId,
     /// Whether it is one of [`Router::taken_as_last`].
-    pub(crate) taken_as_last: bool,
+    pub(crate) admitted_after_deregistration: bool,
     /// When it is over.
-    pub(crate) limit: Time,
+    pub(crate) deadline: Time,
     /// Which request it is; worked out when it first matters.
     pub(crate) digest: OnceCell<RequestDigest>,
-    pub(crate) ledger: AttemptHistory,
+    pub(crate) history: AttemptHistory,
     /// The look at whether the last attempt's back end ended.
-    pub(crate) look: Option<LookEnd>,
+    pub(crate) crash_probe: Option<CrashProbeDone>,
     /// Whether an attempt is under way that may run.
-    pub(crate) in_doubt: bool,
+    pub(crate) attempt_in_flight: bool,
     /// Whether the retry budget granted a repeat that was not written anywhere yet.
-    pub(crate) is_repeat_granted: bool,
+    pub(crate) is_retry_granted: bool,
     pub(crate) tried: Vec<String>,
     /// Whether its pool took it.
     pub(crate) admitted: bool,
     /// Whether its caller came back after a refusal, as far as its patience tells.
-    pub(crate) returned: bool,
+    pub(crate) has_returned: bool,
     /// Whether it got no further attempt since the process ends too soon.
-    pub(crate) ends_too_soon: bool,
+    pub(crate) no_time_before_stop: bool,
     /// After what time the caller may come back, once its pool had no room.
-    pub(crate) come_back: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
     pub(crate) outcome: Outcome,
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
         self.router.exchanges.set(self.router.exchanges.get() - 1);
-        if self.taken_as_last {
+        if self.admitted_after_deregistration {
             let left = self.router.taken_as_last.get() - 1;
             self.router.taken_as_last.set(left);
         }
@@ -116,7 +116,7 @@
         self.router
             .metrics
             .count_request(self.outcome.word(), seconds);
-        if self.returned {
+        if self.has_returned {
             self.router.metrics.count_return(self.outcome.word());
         }
         let status = match self.outcome {
@@ -131,10 +131,10 @@
             self.tenant.as_ref().map_or("-", |tenant| tenant.name.as_str()),
             self.version,
             self.tried.join(","),
-            self.ledger.sends,
-            self.ledger.unreached,
+            self.history.sends,
+            self.history.unreached,
             self.caller.patience.map_or(0, |patience| patience.as_millis()),
-            self.returned,
+            self.has_returned,
             self.outcome.word(),
             status,
             seconds * 1000.0,
@@ -155,7 +155,7 @@
 
     /// Time that it has left.
     pub(crate) fn remaining(&self) -> Duration {
-        self.limit.since(self.router.now())
+        self.deadline.since(self.router.now())
     }
 
     /// Rank among requests to the same pool; a tenant's goes before its route's.
@@ -167,25 +167,25 @@
     }
 
     /// Sends the request until an answer can go to the caller.
-    pub(crate) async fn run(&mut self) -> ExchangeEnd {
-        let limit = self.limit;
+    pub(crate) async fn run(&mut self) -> ExchangeResult {
+        let limit = self.deadline;
         let verdict = self.verdict();
         let router = self.router.clone();
         let ended = tokio::select! {
             biased;
             ended = self.attempts() => Some(ended),
             () = router.until_answer_due(limit) => None,
-            () = verdict => return ExchangeEnd::Refused(self.refusal_kind()),
+            () = verdict => return ExchangeResult::Refused(self.refusal_kind()),
         };
         match ended {
-            Some(Ok((answer, attempt))) => ExchangeEnd::Answer(answer, Box::new(attempt)),
-            Some(Err(Some(last))) => ExchangeEnd::FailedAnswer(last),
-            Some(Err(None)) => ExchangeEnd::Refused(self.refusal_kind()),
-            None if self.in_doubt || self.ledger.may_have_run => {
-                ExchangeEnd::Refused(RefusalKind::TimeOver)
+            Some(Ok((answer, attempt))) => ExchangeResult::Answer(answer, Box::new(attempt)),
+            Some(Err(Some(last))) => ExchangeResult::FailedAnswer(last),
+            Some(Err(None)) => ExchangeResult::Refused(self.refusal_kind()),
+            None if self.attempt_in_flight || self.history.may_have_run => {
+                ExchangeResult::Refused(RefusalKind::TimeOver)
             }
-            None if router.now() < limit => ExchangeEnd::Refused(RefusalKind::Stopping),
-            None => ExchangeEnd::Refused(RefusalKind::NoBackEnd),
+            None if router.now() < limit => ExchangeResult::Refused(RefusalKind::Stopping),
+            None => ExchangeResult::Refused(RefusalKind::NoBackEnd),
         }
     }
 
@@ -203,19 +203,21 @@
     }
 
     /// Attempts until one gives an answer; else the last failed answer.
-    async fn attempts(&mut self) -> Result<(HeldAnswer, Attempt), Option<StoredAnswer>> {
+    async fn attempts(&mut self) -> Result<(ForwardedResponse, Attempt), Option<FailedResponse>> {
         let mut stored = None;
         loop {
             match self.attempt(None).await {
-                AttemptEnd::Answer(response, attempt) => match self.hold(response, attempt).await {
-                    Ok(answer) => return Ok(answer),
-                    Err(failure) => self.note_failure(failure, "-"),
-                },
-                AttemptEnd::Failure(failure, answer) => {
+                AttemptOutcome::Answer(response, attempt) => {
+                    match self.hold(response, attempt).await {
+                        Ok(answer) => return Ok(answer),
+                        Err(failure) => self.note_failure(failure, "-"),
+                    }
+                }
+                AttemptOutcome::Failure(failure, answer) => {
                     self.note_failure(failure, "-");
                     stored = answer.or(stored);
                 }
-                AttemptEnd::NoBackEnd | AttemptEnd::NoRoom => return Err(stored),
+                AttemptOutcome::NoBackEnd | AttemptOutcome::NoRoom => return Err(stored),
             }
             if !self.has_time_for_another() || !self.may_try_again().await {
                 return Err(stored);
@@ -225,17 +227,17 @@
 
     /// Whether the answer to another attempt has time to become whole before the process ends.
     pub(crate) fn has_time_for_another(&mut self) -> bool {
-        self.ends_too_soon = !self.router.has_time_for_another(&self.route, self.limit);
-        if self.ends_too_soon {
-            log::info!(target: "stop", "id={} another_attempt=false sends={}", self.id, self.ledger.sends);
+        self.no_time_before_stop = !self.router.has_time_for_another(&self.route, self.deadline);
+        if self.no_time_before_stop {
+            log::info!(target: "stop", "id={} another_attempt=false sends={}", self.id, self.history.sends);
         }
-        !self.ends_too_soon
+        !self.no_time_before_stop
     }
 
     /// Counts and logs an attempt that failed.
     pub(crate) fn note_failure(&mut self, failure: AttemptFailure, after: &str) {
-        self.in_doubt = false;
-        self.ledger.record(failure);
+        self.attempt_in_flight = false;
+        self.history.record(failure);
         self.router.metrics.count_attempt(failure.as_str());
         log::info!(
             target: "attempt",
@@ -244,35 +246,35 @@
             self.tried.last().map_or("-", String::as_str),
             failure.as_str(),
             after,
-            self.ledger.sends,
+            self.history.sends,
             self.elapsed().as_millis(),
         );
     }
 
-    /// Whether ledger and budget allow one more send. A suspect that arrived gets none: repeats
+    /// Whether history and budget allow one more send. A suspect that arrived gets none: repeats
     /// are earned by all, and one more run of it may end one more back end.
     async fn may_try_again(&mut self) -> bool {
         if !self
-            .ledger
+            .history
             .may_send_again(self.route.kind, self.route.max_attempts)
         {
             return false;
         }
-        if let Some(look) = self.look.take() {
+        if let Some(look) = self.crash_probe.take() {
             // Whether its back end ended counts for how it is treated. A refused connection took 3 ms
             // between zones of a region.
             look.await;
         }
-        if self.ledger.has_arrived() && self.treatment() >= Treatment::Probation {
+        if self.history.has_arrived() && self.treatment() >= Treatment::Probation {
             return false;
         }
-        if !self.ledger.has_arrived() {
+        if !self.history.has_arrived() {
             return true;
         }
-        if !self.is_repeat_granted {
-            self.is_repeat_granted = self.router.take_retry(&self.id, self.pool());
+        if !self.is_retry_granted {
+            self.is_retry_granted = self.router.take_retry(&self.id, self.pool());
         }
-        self.is_repeat_granted
+        self.is_retry_granted
     }
 
     /// Streams are passed on at once, other answers when they are whole.
@@ -280,15 +282,15 @@
         &mut self,
         response: Response<Incoming>,
         attempt: Attempt,
-    ) -> Result<(HeldAnswer, Attempt), AttemptFailure> {
+    ) -> Result<(ForwardedResponse, Attempt), AttemptFailure> {
         if self.route.kind.is_stream() && response.status().is_success() {
-            return Ok((HeldAnswer::coming(response), attempt));
+            return Ok((ForwardedResponse::coming(response), attempt));
         }
-        match HeldAnswer::read(response, &attempt).await {
+        match ForwardedResponse::read(response, &attempt).await {
             Ok(answer) => Ok((answer, attempt)),
             Err(failure) => {
                 attempt.on_failure();
-                self.look = self.note_broken_run(&attempt, failure);
+                self.crash_probe = self.note_broken_run(&attempt, failure);
                 Err(failure)
             }
         }
@@ -296,19 +298,19 @@
 
     /// Why nobody gave an answer.
     fn refusal_kind(&self) -> RefusalKind {
-        if self.ledger.may_have_run && self.remaining().is_zero() {
+        if self.history.may_have_run && self.remaining().is_zero() {
             RefusalKind::TimeOver
-        } else if self.ledger.may_have_run || self.in_doubt {
+        } else if self.history.may_have_run || self.attempt_in_flight {
             RefusalKind::Lost
-        } else if self.ends_too_soon {
+        } else if self.no_time_before_stop {
             RefusalKind::Stopping
         } else if self.treatment() == Treatment::SetAside {
             RefusalKind::SetAside
         } else if self.treatment() == Treatment::Probation {
             RefusalKind::OnProbation
-        } else if self.come_back.is_some() {
+        } else if self.retry_after.is_some() {
             RefusalKind::Busy
-        } else if self.ledger.sends > 0 {
+        } else if self.history.sends > 0 {
             RefusalKind::Rejected
         } else if self.router.is_drained(self.pool()) {
             RefusalKind::Drained
@@ -331,12 +333,12 @@
                 return None;
             }
             match self.attempt(after).await {
-                AttemptEnd::Answer(response, attempt) if response.status().is_success() => {
+                AttemptOutcome::Answer(response, attempt) if response.status().is_success() => {
                     return Some((response.into_body(), attempt));
                 }
-                AttemptEnd::Answer(..) => failure = AttemptFailure::Failed,
-                AttemptEnd::Failure(next, _) => failure = next,
-                AttemptEnd::NoBackEnd | AttemptEnd::NoRoom => return None,
+                AttemptOutcome::Answer(..) => failure = AttemptFailure::Failed,
+                AttemptOutcome::Failure(next, _) => failure = next,
+                AttemptOutcome::NoBackEnd | AttemptOutcome::NoRoom => return None,
             }
         }
     }
--- a/crates/stacktack-direct/src/room.rs
+++ b/crates/stacktack-direct/src/pool_admission.rs
@@ -10,7 +10,7 @@
 
 /// Why a request is refused for its pool's sake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RoomCause {
+pub(crate) enum AdmissionRefusal {
     /// The pool is full and this router has used its share of it.
     PoolShare,
     /// The pool is full and the tenant sends clearly more than its share.
@@ -21,14 +21,14 @@
     BackEndsReject,
 }
 
-impl RoomCause {
+impl AdmissionRefusal {
     /// Fixed word for logs.
     fn word(self) -> &'static str {
         match self {
-            RoomCause::PoolShare => "pool_share",
-            RoomCause::TenantShare => "tenant_share",
-            RoomCause::BackEndsFull => "back_ends_full",
-            RoomCause::BackEndsReject => "back_ends_reject",
+            AdmissionRefusal::PoolShare => "pool_share",
+            AdmissionRefusal::TenantShare => "tenant_share",
+            AdmissionRefusal::BackEndsFull => "back_ends_full",
+            AdmissionRefusal::BackEndsReject => "back_ends_reject",
         }
     }
 }
@@ -38,7 +38,7 @@
         &self,
         act: impl FnOnce(&mut PoolAdmission, &AdmissionRequest<'_>) -> T,
     ) -> T {
-        self.with_admission_of(self.ledger.sends > 0, act)
+        self.with_admission_of(self.history.sends > 0, act)
     }
 
     fn with_admission_of<T>(
@@ -81,28 +81,28 @@
 
     /// Why the request is to be refused, if it is. What is under way always goes on;
     /// what was taken once needs room at a back end only.
-    pub(crate) fn lacks_room(&self, choice: &Choice, under_way: bool) -> Option<RoomCause> {
+    pub(crate) fn lacks_room(&self, choice: &Choice, under_way: bool) -> Option<AdmissionRefusal> {
         let is_new = !under_way && !self.admitted;
         if is_new {
             if let Some(cause) = self.pool_lacks_room(choice.pool_load) {
                 return Some(cause);
             }
         }
-        (!choice.selection.has_room()).then_some(RoomCause::BackEndsFull)
+        (!choice.selection.has_room()).then_some(AdmissionRefusal::BackEndsFull)
     }
 
-    fn pool_lacks_room(&self, pool: Option<PoolLoad>) -> Option<RoomCause> {
+    fn pool_lacks_room(&self, pool: Option<PoolLoad>) -> Option<AdmissionRefusal> {
         let now = self.router.now();
         let routers = self.router.routers();
         let draw: f64 = rand::rng().random();
         self.with_admission(|admission, request| {
             let answer = pool.map(|pool| admission.decide(request, pool, routers, now));
             match answer {
-                Some(PoolDecision::RouterShareExhausted) => Some(RoomCause::PoolShare),
-                Some(PoolDecision::TenantShareExceeded) => Some(RoomCause::TenantShare),
+                Some(PoolDecision::RouterShareExhausted) => Some(AdmissionRefusal::PoolShare),
+                Some(PoolDecision::TenantShareExceeded) => Some(AdmissionRefusal::TenantShare),
                 Some(PoolDecision::Admitted) | None => {
                     let rejected = admission.should_shed(request, draw, now);
-                    rejected.then_some(RoomCause::BackEndsReject)
+                    rejected.then_some(AdmissionRefusal::BackEndsReject)
                 }
             }
         })
@@ -119,7 +119,7 @@
                 admission.on_admitted(request, now);
                 (returned, calm)
             });
-            self.returned = returned;
+            self.has_returned = returned;
             if calm {
                 self.router.metrics.count_calm(returned);
             }
@@ -129,7 +129,7 @@
     /// The request is answered: tells its pool whether the answer to a first try is late.
     /// Callers that came back are late whatever the pool does.
     pub(crate) fn note_first_answer(&self) {
-        if self.returned || self.ledger.sends > 0 {
+        if self.has_returned || self.history.sends > 0 {
             return;
         }
         let late = self.elapsed() > self.route.objective;
@@ -140,7 +140,7 @@
     }
 
     /// The pool has no room for the request: says when its caller may come back.
-    pub(crate) fn turn_away(&mut self, choice: &Choice, cause: RoomCause) {
+    pub(crate) fn turn_away(&mut self, choice: &Choice, cause: AdmissionRefusal) {
         let now = self.router.now();
         let draw: f64 = rand::rng().random();
         let (returned, come_back, share, hold) = self.with_admission(|admission, request| {
@@ -151,8 +151,8 @@
                 admission.hold_seconds().unwrap_or(0.0),
             )
         });
-        self.returned = returned;
-        self.come_back = Some(come_back);
+        self.has_returned = returned;
+        self.retry_after = Some(come_back);
         log::info!(
             target: "admission",
             "id={} pool={} taken=false cause={} pool_fill={} pool_age_ms={} share_per_s={share:.1} back_end={} load={:.1} load_age_ms={} limit={:.1} sends={} returned={returned} hold_ms={:.0} retry_after_ms={}",
@@ -165,7 +165,7 @@
             choice.selection.load,
             choice.load_age_text(),
             choice.selection.limit,
-            self.ledger.sends,
+            self.history.sends,
             hold * 1000.0,
             come_back.as_millis(),
         );
--- a/crates/stacktack-direct/src/quarantine.rs
+++ b/crates/stacktack-direct/src/quarantine.rs
@@ -125,7 +125,7 @@
     pub(crate) fn select_for_probation(&self, treatment: Treatment) -> Option<Choice> {
         let router = &self.router;
         // With those that were tried: the digest names its back ends among all of the pool.
-        let candidates = router.candidates(self.pool(), &[], self.risk(), None);
+        let candidates = router.candidates(self.pool(), &[], self.retryability(), None);
         let mean = candidates.mean_load();
         let most = WATCHED_LOAD_FACTOR * mean + WATCHED_LOAD_SLACK;
         let chosen = select_for_probation(&candidates.list, self.digest(), |candidate| {
--- a/crates/stacktack-direct/src/respond.rs
+++ b/crates/stacktack-direct/src/respond.rs
@@ -5,13 +5,13 @@
 use hyper::{Response, StatusCode};
 use stacktack_core::direct::request::attempt::AttemptFailure;
 
-use crate::answer::{AnswerBody, StreamAnswer};
-use crate::attempt::{Attempt, StoredAnswer};
-use crate::exchange::{Exchange, ExchangeEnd, Outcome};
-use crate::held::{AnswerSource, HeldAnswer};
+use crate::attempt::{Attempt, FailedResponse};
+use crate::exchange::{Exchange, ExchangeResult, Outcome};
 use crate::ports::{Refusal, RefusalKind};
+use crate::response_body::{ResponseBody, ResponseStream};
+use crate::response_buffering::{BodySource, ForwardedResponse};
+use crate::response_deadline::ResponseDeadline;
 use crate::router::Router;
-use crate::unread::AnswerLimit;
 
 /// Time after which a caller may come back when nobody could take its request.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(150);
@@ -32,19 +32,19 @@
 const PROBATION_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
 /// Runs a request and answers it.
-pub async fn respond(mut exchange: Box<Exchange>) -> Response<AnswerBody> {
+pub async fn respond(mut exchange: Box<Exchange>) -> Response<ResponseBody> {
     match exchange.run().await {
-        ExchangeEnd::Answer(answer, attempt)
+        ExchangeResult::Answer(answer, attempt)
             if promises_too_much(&exchange, answer.head.status) =>
         {
             withhold(exchange, answer, *attempt)
         }
-        ExchangeEnd::FailedAnswer(last) if promises_too_much(&exchange, last.head.status) => {
+        ExchangeResult::FailedAnswer(last) if promises_too_much(&exchange, last.head.status) => {
             refuse(&mut exchange, RefusalKind::Lost)
         }
-        ExchangeEnd::Answer(answer, attempt) => pass_on(exchange, answer, *attempt),
-        ExchangeEnd::FailedAnswer(last) => pass_failure_on(&mut exchange, last),
-        ExchangeEnd::Refused(kind) => refuse(&mut exchange, kind),
+        ExchangeResult::Answer(answer, attempt) => pass_on(exchange, answer, *attempt),
+        ExchangeResult::FailedAnswer(last) => pass_failure_on(&mut exchange, last),
+        ExchangeResult::Refused(kind) => refuse(&mut exchange, kind),
     }
 }
 
@@ -57,12 +57,12 @@
 /// Says in the place of an answer that it is uncertain whether the request ran.
 fn withhold(
     mut exchange: Box<Exchange>,
-    answer: HeldAnswer,
+    answer: ForwardedResponse,
     attempt: Attempt,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     exchange.note_failure(AttemptFailure::Failed, "-");
     exchange.note_good_run();
-    if matches!(answer.source, AnswerSource::Whole(_)) {
+    if matches!(answer.source, BodySource::Whole(_)) {
         attempt.finish();
     }
     refuse(&mut exchange, RefusalKind::Lost)
@@ -70,44 +70,44 @@
 
 fn pass_on(
     mut exchange: Box<Exchange>,
-    answer: HeldAnswer,
+    answer: ForwardedResponse,
     attempt: Attempt,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let seconds = exchange.elapsed().as_secs_f64();
     exchange.router.metrics.record_first_byte(seconds);
     exchange.note_first_answer();
-    let HeldAnswer { mut head, source } = answer;
+    let ForwardedResponse { mut head, source } = answer;
     head.headers = exchange.router.protocol.answer_headers(&head.headers);
     let body = match source {
-        AnswerSource::Whole(bytes) => {
+        BodySource::Whole(bytes) => {
             exchange.note_good_run();
             attempt.on_whole();
             attempt.finish();
             exchange.outcome = Outcome::Answered(head.status.as_u16());
-            AnswerBody::whole(bytes)
+            ResponseBody::whole(bytes)
         }
-        AnswerSource::Coming { begun, rest } => {
+        BodySource::Coming { begun, rest } => {
             let status = head.status.as_u16();
-            let limit = AnswerLimit(exchange.limit);
-            let stream = StreamAnswer::new(exchange, begun, rest, attempt, status);
+            let limit = ResponseDeadline(exchange.deadline);
+            let stream = ResponseStream::new(exchange, begun, rest, attempt, status);
             if stream.is_resumable() {
                 head.headers.remove(hyper::header::CONTENT_LENGTH);
             }
             head.extensions.insert(limit);
-            AnswerBody::stream(stream)
+            ResponseBody::stream(stream)
         }
     };
     Response::from_parts(head, body)
 }
 
-fn pass_failure_on(exchange: &mut Exchange, last: StoredAnswer) -> Response<AnswerBody> {
+fn pass_failure_on(exchange: &mut Exchange, last: FailedResponse) -> Response<ResponseBody> {
     exchange.outcome = Outcome::Answered(last.head.status.as_u16());
     let mut head = last.head;
     head.headers = exchange.router.protocol.answer_headers(&head.headers);
-    Response::from_parts(head, AnswerBody::whole(last.body))
+    Response::from_parts(head, ResponseBody::whole(last.body))
 }
 
-fn refuse(exchange: &mut Exchange, kind: RefusalKind) -> Response<AnswerBody> {
+fn refuse(exchange: &mut Exchange, kind: RefusalKind) -> Response<ResponseBody> {
     exchange.outcome = Outcome::Refused(kind);
     let usual = match kind {
         RefusalKind::Drained => DRAINED_RETRY_AFTER,
@@ -115,14 +115,14 @@
         RefusalKind::Stopping => exchange.router.until_next_serving(),
         _ => RETRY_AFTER,
     };
-    let come_back = exchange.come_back.unwrap_or(usual);
+    let come_back = exchange.retry_after.unwrap_or(usual);
     let retry_after = kind.may_come_back().then_some(come_back);
     let refusal = Refusal { kind, retry_after };
     let response = exchange
         .router
         .protocol
         .refuse(&refusal, Some(&exchange.id));
-    response.map(AnswerBody::whole)
+    response.map(ResponseBody::whole)
 }
 
 /// Refuses a request that did not become an exchange.
@@ -131,7 +131,7 @@
     kind: RefusalKind,
     id: Option<&str>,
     version: u64,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     log::info!(
         target: "request",
         "id={} config={version} outcome={}",
@@ -141,7 +141,10 @@
     router.metrics.count_request(kind.word(), 0.0);
     let retry_after = early_retry_after(router, kind);
     let refusal = Refusal { kind, retry_after };
-    router.protocol.refuse(&refusal, id).map(AnswerBody::whole)
+    router
+        .protocol
+        .refuse(&refusal, id)
+        .map(ResponseBody::whole)
 }
 
 /// When a caller may come back whose request was refused early.
--- a/crates/stacktack-direct/src/answer.rs
+++ b/crates/stacktack-direct/src/response_body.rs
@@ -17,15 +17,15 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 use crate::attempt::Attempt;
+use crate::attempt_timeout::ResponseProgress;
 use crate::exchange::{Exchange, Outcome};
-use crate::silence::AnswerProgress;
 
 /// Time without bytes after which a resumable stream is continued elsewhere, if it may be.
 const STALL: Duration = Duration::from_millis(800);
 
 /// Why an answer broke off midway; the caller's connection is closed.
 #[derive(Debug, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// The back end's answer broke off.
     #[error("the back end's answer broke off")]
     BrokenOff,
@@ -35,51 +35,51 @@
 }
 
 /// Body of an answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All bytes are here; `None` once they are taken.
     Whole(Option<Bytes>),
     /// A stream under way.
-    Stream(Box<StreamAnswer>),
+    Stream(Box<ResponseStream>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body of bytes.
     pub fn whole(bytes: Bytes) -> Self {
-        AnswerBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+        ResponseBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
     /// A stream under way.
-    pub fn stream(stream: StreamAnswer) -> Self {
-        AnswerBody::Stream(Box::new(stream))
+    pub fn stream(stream: ResponseStream) -> Self {
+        ResponseBody::Stream(Box::new(stream))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = ResponseError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         match &mut *self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Whole(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Stream(stream) => stream.poll_next(context),
+            ResponseBody::Stream(stream) => stream.poll_next(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, ResponseBody::Whole(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            AnswerBody::Stream(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
@@ -104,14 +104,14 @@
 }
 
 /// A stream on its way to a caller.
-pub struct StreamAnswer {
+pub struct ResponseStream {
     source: Source,
     /// Bytes that came before the stream began; empty once they are taken.
     begun: Bytes,
     /// Cuts resumable streams into whole events.
     splitter: Option<EventSplitter>,
     status: u16,
-    limit: LocalBoxFuture<'static, ()>,
+    deadline: LocalBoxFuture<'static, ()>,
     stall: Option<Pin<Box<Sleep>>>,
 }
 
@@ -122,7 +122,7 @@
     TimeOver,
 }
 
-impl StreamAnswer {
+impl ResponseStream {
     /// A stream whose head is there.
     pub fn new(
         exchange: Box<Exchange>,
@@ -132,9 +132,9 @@
         status: u16,
     ) -> Self {
         let resumable = exchange.route.kind == RouteKind::ResumableStream;
-        let (router, end) = (exchange.router.clone(), exchange.limit);
-        let limit = async move { router.until(end).await }.boxed_local();
-        StreamAnswer {
+        let (router, end) = (exchange.router.clone(), exchange.deadline);
+        let deadline = async move { router.until(end).await }.boxed_local();
+        ResponseStream {
             source: Source::Sending {
                 exchange,
                 incoming,
@@ -143,7 +143,7 @@
             begun,
             splitter: resumable.then(EventSplitter::default),
             status,
-            limit,
+            deadline,
             stall: resumable.then(|| Box::pin(sleep_until(next_stall()))),
         }
     }
@@ -156,20 +156,20 @@
     fn poll_next(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         loop {
             if let Source::Resuming { resumed, silent } = &mut self.source {
                 let (exchange, resumed) = match resumed.poll_unpin(context) {
                     Poll::Ready(resumed) => resumed,
                     Poll::Pending => {
-                        ready!(self.limit.as_mut().poll(context));
+                        ready!(self.deadline.as_mut().poll(context));
                         self.source = Source::Ended;
-                        return Poll::Ready(Some(Err(AnswerError::TimeOver)));
+                        return Poll::Ready(Some(Err(ResponseError::TimeOver)));
                     }
                 };
                 let silent = silent.take();
                 if !self.go_on(exchange, resumed, silent) {
-                    return Poll::Ready(Some(Err(AnswerError::BrokenOff)));
+                    return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
                 }
             }
             match ready!(self.poll_step(context)) {
@@ -185,12 +185,12 @@
                 Step::End => return Poll::Ready(self.end()),
                 Step::Broken(failure) => {
                     if !self.try_resume(failure) {
-                        return Poll::Ready(Some(Err(AnswerError::BrokenOff)));
+                        return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
                     }
                 }
                 Step::TimeOver => {
                     self.finish(Outcome::BrokenOff);
-                    return Poll::Ready(Some(Err(AnswerError::TimeOver)));
+                    return Poll::Ready(Some(Err(ResponseError::TimeOver)));
                 }
             }
         }
@@ -257,12 +257,12 @@
             }
             Poll::Pending => {}
         }
-        if self.limit.as_mut().poll(context).is_ready() {
+        if self.deadline.as_mut().poll(context).is_ready() {
             return Poll::Ready(Step::TimeOver);
         }
         if let Some(stall) = &mut self.stall {
             while stall.as_mut().poll(context).is_ready() {
-                if exchange.leaves_silent_attempt(AnswerProgress::Begun) {
+                if exchange.leaves_silent_attempt(ResponseProgress::Begun) {
                     return Poll::Ready(Step::Broken(AttemptFailure::TimedOut));
                 }
                 stall.as_mut().reset(next_stall());
@@ -293,7 +293,7 @@
         } else {
             attempt.on_failure();
         }
-        exchange.look = exchange.note_broken_run(&attempt, failure);
+        exchange.crash_probe = exchange.note_broken_run(&attempt, failure);
         let silent = is_silent.then_some((incoming, attempt));
         let Some(splitter) = &self.splitter else {
             exchange.note_failure(failure, "-");
@@ -312,7 +312,7 @@
         true
     }
 
-    fn end(&mut self) -> Option<Result<Frame<Bytes>, AnswerError>> {
+    fn end(&mut self) -> Option<Result<Frame<Bytes>, ResponseError>> {
         let status = self.status;
         self.finish(Outcome::Answered(status));
         None
--- a/crates/stacktack-direct/src/held.rs
+++ b/crates/stacktack-direct/src/response_buffering.rs
@@ -14,15 +14,15 @@
 const HELD_BYTES: usize = 1024 * 1024;
 
 /// An answer that can go to the caller.
-pub struct HeldAnswer {
+pub struct ForwardedResponse {
     /// Head.
     pub head: response::Parts,
     /// Body.
-    pub source: AnswerSource,
+    pub source: BodySource,
 }
 
 /// Where the bytes of an answer come from.
-pub enum AnswerSource {
+pub enum BodySource {
     /// All of them are here.
     Whole(Bytes),
     /// They are still coming.
@@ -34,13 +34,13 @@
     },
 }
 
-impl HeldAnswer {
+impl ForwardedResponse {
     /// An answer that is passed on as it comes.
     pub fn coming(response: Response<Incoming>) -> Self {
         let (head, rest) = response.into_parts();
         let begun = Bytes::new();
-        let source = AnswerSource::Coming { begun, rest };
-        HeldAnswer { head, source }
+        let source = BodySource::Coming { begun, rest };
+        ForwardedResponse { head, source }
     }
 
     /// Reads an answer until it is whole or too large to be held.
@@ -56,11 +56,11 @@
             begun.extend_from_slice(&frame.into_data().unwrap_or_default());
             if begun.len() > HELD_BYTES {
                 let begun = begun.freeze();
-                let source = AnswerSource::Coming { begun, rest };
-                return Ok(HeldAnswer { head, source });
+                let source = BodySource::Coming { begun, rest };
+                return Ok(ForwardedResponse { head, source });
             }
         }
-        let source = AnswerSource::Whole(begun.freeze());
-        Ok(HeldAnswer { head, source })
+        let source = BodySource::Whole(begun.freeze());
+        Ok(ForwardedResponse { head, source })
     }
 }
--- a/crates/stacktack-direct/src/unread.rs
+++ b/crates/stacktack-direct/src/response_deadline.rs
@@ -16,7 +16,7 @@
 use stacktack_core::time::Time;
 use tokio::sync::Notify;
 
-use crate::answer::{AnswerBody, AnswerError};
+use crate::response_body::{ResponseBody, ResponseError};
 use crate::router::Router;
 
 /// Time after the limit of an answer in which it ends by itself while its caller reads.
@@ -24,24 +24,24 @@
 
 /// When an answer that is passed on as it comes has to be over.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerLimit(pub Time);
+pub(crate) struct ResponseDeadline(pub Time);
 
 /// The answer of one connection that is passed on as it comes, if there is one.
 #[derive(Debug, Default)]
-pub(crate) struct PassedAnswer {
+pub(crate) struct DeadlineTracker {
     limit: Cell<Option<Time>>,
     changed: Notify,
 }
 
-impl PassedAnswer {
+impl DeadlineTracker {
     /// Follows an answer until all of it was taken, or it broke off.
-    pub fn follow(self: &Rc<Self>, response: Response<AnswerBody>) -> Response<FollowedBody> {
-        let limit = response.extensions().get::<AnswerLimit>().copied();
-        let end = limit.map(|AnswerLimit(limit)| {
+    pub fn track(self: &Rc<Self>, response: Response<ResponseBody>) -> Response<TrackedBody> {
+        let limit = response.extensions().get::<ResponseDeadline>().copied();
+        let end = limit.map(|ResponseDeadline(limit)| {
             self.set(Some(limit));
             AnswerEnd(self.clone())
         });
-        response.map(|body| FollowedBody { body, _end: end })
+        response.map(|body| TrackedBody { body, _end: end })
     }
 
     fn set(&self, limit: Option<Time>) {
@@ -65,7 +65,7 @@
 }
 
 /// Ends the following of an answer.
-struct AnswerEnd(Rc<PassedAnswer>);
+struct AnswerEnd(Rc<DeadlineTracker>);
 
 impl Drop for AnswerEnd {
     fn drop(&mut self) {
@@ -74,19 +74,19 @@
 }
 
 /// Body of an answer that is followed.
-pub(crate) struct FollowedBody {
-    body: AnswerBody,
+pub(crate) struct TrackedBody {
+    body: ResponseBody,
     _end: Option<AnswerEnd>,
 }
 
-impl Body for FollowedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = ResponseError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -31,9 +31,9 @@
 use stacktack_core::time::Time;
 use tokio::sync::{watch, Notify};
 
-use crate::back_end_end::Look;
 use crate::clock::{Clock, SuspensionDetector};
 use crate::connection::RestingConnections;
+use crate::crash_detection::CrashProbe;
 use crate::freshness::KnownFreshness;
 use crate::load_summary::LoadSummary;
 use crate::metrics::DirectMetrics;
@@ -122,7 +122,7 @@
     /// Runs that broke off, until it is known whether their back end ended.
     pub(crate) broken_runs: RefCell<InterruptedRuns>,
     /// Looks at whether back ends still accept connections.
-    pub(crate) looks: RefCell<HashMap<InstanceId, Look>>,
+    pub(crate) looks: RefCell<HashMap<InstanceId, CrashProbe>>,
     /// Requests that end back ends.
     pub quarantine: RefCell<Quarantine>,
     /// Back ends that run a request on probation.
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -13,13 +13,13 @@
 use stacktack_core::direct::request::attempt::{AttemptFailure, AttemptHistory};
 use tokio::time::timeout;
 
-use crate::attempt::{Attempt, AttemptEnd, StoredAnswer};
+use crate::attempt::{Attempt, AttemptOutcome, FailedResponse};
+use crate::attempt_timeout::ResponseProgress;
 use crate::choice::Choice;
 use crate::client::{ClientConnection, ConnectError, SendError};
 use crate::exchange::Exchange;
 use crate::ports::ForwardOrder;
 use crate::router::pool_name;
-use crate::silence::AnswerProgress;
 
 /// Longest time for a connection to a back end to come up.
 const CONNECT_LIMIT: Duration = Duration::from_millis(150);
@@ -39,11 +39,11 @@
 
 impl Exchange {
     /// One attempt: choice, connection, request, head of the answer.
-    pub(crate) async fn attempt(&mut self, resume_after: Option<&str>) -> AttemptEnd {
-        let under_way = self.is_under_way(AnswerProgress::of(resume_after));
+    pub(crate) async fn attempt(&mut self, resume_after: Option<&str>) -> AttemptOutcome {
+        let under_way = self.is_under_way(ResponseProgress::of(resume_after));
         let treatment = self.treatment();
         if treatment == Treatment::SetAside {
-            return AttemptEnd::NoBackEnd;
+            return AttemptOutcome::NoBackEnd;
         }
         let probation = match treatment {
             Treatment::Usual => None,
@@ -51,15 +51,15 @@
         };
         let on_probation = probation.is_some();
         if treatment == Treatment::Probation && !on_probation {
-            return AttemptEnd::NoBackEnd;
+            return AttemptOutcome::NoBackEnd;
         }
         let limit = (!under_way).then(|| self.slot_limit());
         let Some(choice) = probation.or_else(|| self.select(limit)) else {
-            return AttemptEnd::NoBackEnd;
+            return AttemptOutcome::NoBackEnd;
         };
         if let Some(cause) = self.lacks_room(&choice, under_way) {
             self.turn_away(&choice, cause);
-            return AttemptEnd::NoRoom;
+            return AttemptOutcome::NoRoom;
         }
         self.take_in();
         let back_end = choice.back_end.clone();
@@ -68,7 +68,7 @@
         let pool = pool_name(self.pool());
         let load = choice.selection.load;
         let Some(mut attempt) = Attempt::begin(self.router.clone(), &back_end, pool, load) else {
-            return AttemptEnd::Failure(AttemptFailure::Unreached, None);
+            return AttemptOutcome::Failure(AttemptFailure::Unreached, None);
         };
         attempt.watch_version(&self.route);
         if on_probation {
@@ -87,8 +87,8 @@
                     AttemptFailure::BackEndLeft => {}
                     _ => attempt.on_unreachable(),
                 }
-                self.look = self.note_broken_run(&attempt, failure);
-                AttemptEnd::Failure(failure, None)
+                self.crash_probe = self.note_broken_run(&attempt, failure);
+                AttemptOutcome::Failure(failure, None)
             }
         }
     }
@@ -132,14 +132,14 @@
         // A second try takes no chances: the resting connection there may be stale, or
         // have a surplus answer to come, like the one that spoiled the first. Both
         // tries crossed, and callers got 502, where all back ends sent surplus answers.
-        let may_rest = self.route.kind.is_idempotent() && self.ledger.sends == 0;
+        let may_rest = self.route.kind.is_idempotent() && self.history.sends == 0;
         let mut resting = if may_rest {
             let mut connections = self.router.connections.borrow_mut();
             connections.take(address, Instant::now())
         } else {
             None
         };
-        let progress = AnswerProgress::of(resume_after);
+        let progress = ResponseProgress::of(resume_after);
         loop {
             let (mut connection, rested) = match resting.take() {
                 Some(connection) => (connection, true),
@@ -158,8 +158,8 @@
                 return Err(AttemptFailure::BackEndLeft);
             }
             let request = self.back_end_request(attempt, resume_after, fetch_from);
-            self.in_doubt = true;
-            self.is_repeat_granted = false;
+            self.attempt_in_flight = true;
+            self.is_retry_granted = false;
             attempt.on_write();
             let sent = self.await_head(connection.send(request), progress).await;
             match sent {
@@ -168,7 +168,7 @@
                     return Ok(response);
                 }
                 Err(SendError::NotWritten) => {
-                    self.in_doubt = false;
+                    self.attempt_in_flight = false;
                     if !rested {
                         return Err(AttemptFailure::Unreached);
                     }
@@ -191,9 +191,9 @@
     /// Whether the request may be sent again when the next attempt fails.
     pub(crate) fn may_repeat_next(&self) -> bool {
         let next = AttemptHistory {
-            sends: self.ledger.sends + 1,
+            sends: self.history.sends + 1,
             may_have_run: true,
-            ..self.ledger
+            ..self.history
         };
         next.may_send_again(self.route.kind, self.route.max_attempts)
     }
@@ -203,7 +203,7 @@
     async fn await_head(
         &mut self,
         head: impl Future<Output = Result<Response<Incoming>, SendError>>,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> Result<Response<Incoming>, SendError> {
         let mut head = pin!(head);
         loop {
@@ -254,7 +254,11 @@
     }
 
     /// What the head of an answer proves.
-    async fn classify(&mut self, response: Response<Incoming>, mut attempt: Attempt) -> AttemptEnd {
+    async fn classify(
+        &mut self,
+        response: Response<Incoming>,
+        mut attempt: Attempt,
+    ) -> AttemptOutcome {
         let (head, body) = response.into_parts();
         let told = self.router.protocol.read_answer(&head);
         attempt.on_head(&told);
@@ -262,38 +266,38 @@
         let missing = told.id.is_none() && !head.status.is_success();
         if !own && !missing {
             attempt.on_failure();
-            return AttemptEnd::Failure(AttemptFailure::MismatchedResponse, None);
+            return AttemptOutcome::Failure(AttemptFailure::MismatchedResponse, None);
         }
         if told.other_instance || head.status == StatusCode::MISDIRECTED_REQUEST {
             attempt.on_other_instance();
-            return AttemptEnd::Failure(AttemptFailure::OtherInstance, None);
+            return AttemptOutcome::Failure(AttemptFailure::OtherInstance, None);
         }
         attempt.note_taken(!told.not_run);
         if told.not_run {
-            return AttemptEnd::Failure(AttemptFailure::Rejected, None);
+            return AttemptOutcome::Failure(AttemptFailure::Rejected, None);
         }
         if head.status.is_server_error() {
             attempt.on_failure();
             let collected = Limited::new(body, STORED_ANSWER).collect().await;
             return match collected {
                 Ok(body) => {
-                    let stored = StoredAnswer {
+                    let stored = FailedResponse {
                         head,
                         body: body.to_bytes(),
                     };
                     attempt.finish();
                     self.note_good_run();
-                    AttemptEnd::Failure(AttemptFailure::Failed, Some(stored))
+                    AttemptOutcome::Failure(AttemptFailure::Failed, Some(stored))
                 }
                 Err(_) => {
-                    self.look = self.note_broken_run(&attempt, AttemptFailure::Broken);
-                    AttemptEnd::Failure(AttemptFailure::Broken, None)
+                    self.crash_probe = self.note_broken_run(&attempt, AttemptFailure::Broken);
+                    AttemptOutcome::Failure(AttemptFailure::Broken, None)
                 }
             };
         }
         attempt.on_good_answer();
         self.record_place(&attempt.back_end);
-        AttemptEnd::Answer(Response::from_parts(head, body), attempt)
+        AttemptOutcome::Answer(Response::from_parts(head, body), attempt)
     }
 }
 
--- a/crates/stacktack-direct/src/server.rs
+++ b/crates/stacktack-direct/src/server.rs
@@ -20,9 +20,9 @@
 use tokio::time::sleep;
 
 use crate::admission;
-use crate::counted::Counted;
+use crate::count_guard::CountGuard;
+use crate::response_deadline::DeadlineTracker;
 use crate::router::{Phase, Router};
-use crate::unread::PassedAnswer;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -161,9 +161,9 @@
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
-    let _open = Counted::begin(router.clone(), |router| &router.open_connections);
+    let _open = CountGuard::new(router.clone(), |router| &router.open_connections);
     let activity = Rc::new(Activity::new(router.clone()));
-    let passed = Rc::new(PassedAnswer::default());
+    let passed = Rc::new(DeadlineTracker::default());
     let service = {
         let router = router.clone();
         let activity = activity.clone();
@@ -180,7 +180,7 @@
                     response.headers_mut().insert(CONNECTION, close);
                 }
                 activity.set(false);
-                Ok::<_, Infallible>(passed.follow(response))
+                Ok::<_, Infallible>(passed.track(response))
             }
         })
     };
