--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -18,13 +18,16 @@
 use crate::counted::Counted;
 use crate::exchange::{Exchange, Outcome};
 use crate::ports::{CallerRequest, RefusalKind};
-use crate::quarantine::digest_of;
+use crate::quarantine::request_digest;
 use crate::respond::{refuse_early, respond};
 use crate::router::{Phase, Router};
 
 /// Answers one request.
-pub async fn answer(router: Rc<Router>, request: Request<Incoming>) -> Response<AnswerBody> {
-    router.look_for_suspension();
+pub async fn handle_request(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> Response<AnswerBody> {
+    router.check_for_suspension();
     let started = router.now();
     let (head, body) = request.into_parts();
     let caller = router.protocol.read_request(&head);
@@ -61,7 +64,7 @@
     if *router.phase.borrow() >= Phase::Draining {
         return Err(refused(RefusalKind::Stopping));
     }
-    if router.awaits_news() {
+    if router.awaits_contact() {
         return Err(refused(RefusalKind::NotReady));
     }
     let configuration = known.ok_or_else(|| refused(RefusalKind::NotReady))?;
@@ -73,16 +76,16 @@
         .patience
         .map_or(route.timeout, |time| time.min(route.timeout));
     let limit = started + patience;
-    if !router.may_take(&id_text, &route, limit) {
+    if !router.may_admit(&id_text, &route, limit) {
         return Err(refused(RefusalKind::Stopping));
     }
     // A process that stops waits for it.
-    let arriving = Counted::begin(router.clone(), |router| &router.arriving);
+    let arriving = Counted::begin(router.clone(), |router| &router.requests_being_read);
     let limited = Limited::new(body, configuration.limits.body_bytes);
     let collected = tokio::select! {
         biased;
         collected = limited.collect() => Some(collected),
-        () = router.until_answer_due(limit) => None,
+        () = router.until_response_due(limit) => None,
     };
     let body = match collected {
         Some(Ok(body)) => body.to_bytes(),
@@ -94,12 +97,12 @@
         None => return Err(refused(RefusalKind::BodyTimeout)),
     };
     // A body may come slowly: what was time enough at the head may not be any more.
-    if !router.may_take(&id_text, &route, limit) {
+    if !router.may_admit(&id_text, &route, limit) {
         return Err(refused(RefusalKind::Stopping));
     }
     let digest = OnceCell::new();
-    let treatment =
-        router.treatment(|| *digest.get_or_init(|| digest_of(&head, &body, tenant.as_deref())));
+    let treatment = router
+        .treatment(|| *digest.get_or_init(|| request_digest(&head, &body, tenant.as_deref())));
     if treatment == Treatment::SetAside {
         if let Some(digest) = digest.get() {
             log::info!(target: "quarantine", "id={id_text} request={digest} refused=true");
@@ -111,9 +114,11 @@
         // A suspect gets no repeats and earns none.
         router.count_request(&route.targets[target].back_ends);
     }
-    router.exchanges.set(router.exchanges.get() + 1);
+    router
+        .requests_in_flight
+        .set(router.requests_in_flight.get() + 1);
     drop(arriving);
-    let taken_as_last = router.note_taken_as_last();
+    let taken_as_last = router.count_admission_after_deregistration();
     let run = router.begin_run(&route.name);
     Ok(Box::new(Exchange {
         router: router.clone(),
--- a/crates/stacktack-direct/src/answer.rs
+++ b/crates/stacktack-direct/src/answer.rs
@@ -133,7 +133,7 @@
     ) -> Self {
         let resumable = exchange.route.kind == RouteKind::ResumableStream;
         let (router, end) = (exchange.router.clone(), exchange.limit);
-        let limit = async move { router.until(end).await }.boxed_local();
+        let limit = async move { router.sleep_until(end).await }.boxed_local();
         StreamAnswer {
             source: Source::Sending {
                 exchange,
@@ -327,7 +327,7 @@
         {
             exchange.outcome = outcome;
             if matches!(outcome, Outcome::Answered(_)) {
-                exchange.note_good_run();
+                exchange.on_successful_run();
                 attempt.on_whole();
                 attempt.finish();
             }
--- a/crates/stacktack-direct/src/app.rs
+++ b/crates/stacktack-direct/src/app.rs
@@ -82,7 +82,7 @@
         instruments,
         Rc::new(SystemClock),
     ));
-    router.serve_rollouts()?;
+    router.enable_rollouts()?;
     let store = Rc::new(Dependency::new("store")?);
     actix_rt::spawn(follow_configuration(
         router.clone(),
@@ -173,10 +173,10 @@
             .borrow_mut()
             .expire(std::time::Instant::now());
         let now = router.now();
-        router.places.borrow_mut().expire(now);
-        router.broken_runs.borrow_mut().expire(now);
+        router.prefix_locations.borrow_mut().expire(now);
+        router.interrupted_runs.borrow_mut().expire(now);
         router.quarantine.borrow_mut().expire(now);
-        router.forget_run_times(now);
+        router.remove_idle_run_times(now);
         router.log_loads();
         router.log_stale_directory();
     }
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -16,7 +16,7 @@
 
 use crate::client::ClientConnection;
 use crate::ports::BackEndAnswer;
-use crate::rollouts::VersionWatch;
+use crate::rollouts::VersionObserver;
 use crate::router::Router;
 
 /// A failed answer of a back end, kept in case no better one comes.
@@ -63,7 +63,7 @@
     written: Instant,
     rest_seconds: Option<u64>,
     /// What it tells of its back end's version, where that is rolled out.
-    version: Option<Box<VersionWatch>>,
+    version: Option<Box<VersionObserver>>,
 }
 
 impl Attempt {
@@ -95,14 +95,14 @@
 
     /// It is for a route: its end tells of the version of its back end.
     pub(crate) fn watch_version(&mut self, route: &Arc<Route>) {
-        self.version = VersionWatch::begin(&self.router, &self.back_end, route).map(Box::new);
+        self.version = VersionObserver::begin(&self.router, &self.back_end, route).map(Box::new);
     }
 
     /// Runs on probation: no other suspect goes to its back end meanwhile.
     pub(crate) fn put_on_probation(&mut self) {
         self.on_probation = true;
         self.router
-            .probations
+            .back_ends_on_probation
             .borrow_mut()
             .insert(self.back_end.clone());
     }
@@ -235,7 +235,10 @@
         }
         let now = self.router.now();
         if self.on_probation {
-            self.router.probations.borrow_mut().remove(&self.back_end);
+            self.router
+                .back_ends_on_probation
+                .borrow_mut()
+                .remove(&self.back_end);
         }
         self.with_back_end(|back_end| back_end.load.on_end(now));
     }
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/back_end_end.rs
@@ -71,8 +71,8 @@
             at: self.router.now(),
         };
         let life = attempt.life;
-        self.router.broken_runs.borrow_mut().add(life, run);
-        let has_ended = self.router.broken_runs.borrow().has_ended(life);
+        self.router.interrupted_runs.borrow_mut().add(life, run);
+        let has_ended = self.router.interrupted_runs.borrow().has_ended(life);
         if has_ended {
             self.router
                 .on_back_end_ended(&attempt.back_end, life, "seen_before");
@@ -91,7 +91,7 @@
 /// about the same time, and goes on when they leave.
 fn look_at(router: &Rc<Router>, subject: Subject) -> LookEnd {
     let now = router.now();
-    let mut looks = router.looks.borrow_mut();
+    let mut looks = router.crash_probes.borrow_mut();
     looks.retain(|_, look| now.since(look.begun) < LOOK_AGAIN);
     let known = looks.entry(subject.life).or_insert_with(|| {
         let done = look(router.clone(), subject).boxed_local().shared();
@@ -133,7 +133,10 @@
     /// requests that it was running.
     pub(crate) fn on_back_end_ended(&self, back_end: &str, life: InstanceId, cause: &'static str) {
         let now = self.now();
-        let runs = self.broken_runs.borrow_mut().on_back_end_ended(life, now);
+        let runs = self
+            .interrupted_runs
+            .borrow_mut()
+            .on_back_end_ended(life, now);
         let named: Vec<String> = runs
             .iter()
             .take(NAMED)
@@ -145,7 +148,7 @@
             runs.len(),
             named.join(","),
         );
-        self.metrics.count_ended(cause);
+        self.metrics.count_crash(cause);
         if self.is_leaving(back_end) {
             // A planned end is nobody's doing.
             return;
@@ -154,14 +157,14 @@
             let mut quarantine = self.quarantine.borrow_mut();
             let change = quarantine.on_crash(run.digest, life, run.on_probation, now);
             drop(quarantine);
-            self.note_treatment(change, "own");
+            self.on_treatment_change(change, "own");
         }
     }
 
     /// A request found nobody there. Where runs had broken off and the look at that was lost on
     /// its way, this shows that the back end ended.
     pub(crate) fn on_refused(&self, back_end: &str, life: InstanceId) {
-        let waiting = self.broken_runs.borrow().has_unexplained(life);
+        let waiting = self.interrupted_runs.borrow().has_unexplained(life);
         if waiting {
             self.on_back_end_ended(back_end, life, "refused");
         }
@@ -181,7 +184,7 @@
             instance: life,
         } in vanished
         {
-            let waiting = self.broken_runs.borrow().has_unexplained(*life);
+            let waiting = self.interrupted_runs.borrow().has_unexplained(*life);
             if waiting {
                 self.on_back_end_ended(back_end, *life, "vanished");
             }
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -8,7 +8,7 @@
 use stacktack_core::direct::choice::select::DirectCandidate;
 use stacktack_core::direct::rollout::VersionSelection;
 
-use crate::rollouts::VersionChoice;
+use crate::rollouts::VersionFilter;
 use crate::router::Router;
 
 impl Router {
@@ -19,7 +19,7 @@
             return false;
         };
         let drained = self.zone_drains.borrow().covers(&known.entry);
-        let is_withheld = self.is_withheld(&known.entry, &back_ends);
+        let is_withheld = self.is_version_blocked(&known.entry, &back_ends);
         !known.entry.leaving && !drained && !is_withheld && InstanceId::of(&known.entry) == life
     }
 
@@ -31,10 +31,10 @@
         request: Retryability,
         limit: Option<SlotLimit>,
     ) -> Candidates {
-        let choice = self.version_choice(pool, excluded.is_empty());
+        let choice = self.version_filter(pool, excluded.is_empty());
         let candidates = self.candidates_of(choice, pool, excluded, request, limit);
-        if choice == VersionChoice::Side(VersionSelection::New) && !candidates.any_has_room() {
-            let old = VersionChoice::Side(VersionSelection::Old);
+        if choice == VersionFilter::Selected(VersionSelection::New) && !candidates.any_has_room() {
+            let old = VersionFilter::Selected(VersionSelection::Old);
             return self.candidates_of(old, pool, excluded, request, limit);
         }
         candidates
@@ -42,7 +42,7 @@
 
     fn candidates_of(
         &self,
-        choice: VersionChoice,
+        choice: VersionFilter,
         pool: &[Requirement],
         excluded: &[String],
         request: Retryability,
@@ -54,7 +54,7 @@
         let members = back_ends.pool(now, request, |entry| {
             matches_all(pool, &entry.labels)
                 && !excluded.contains(&entry.id)
-                && self.may_choose(entry, choice)
+                && self.matches_version_filter(entry, choice)
         });
         let mut candidates = Candidates::default();
         for (index, (member, standing)) in members.into_iter().enumerate() {
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -155,7 +155,7 @@
         if self.caller.prompt.shared_tokens() < FETCH_TOKENS {
             return None;
         }
-        let places = self.router.places.borrow();
+        let places = self.router.prefix_locations.borrow();
         let holders = places.holders(part.id);
         if holders.iter().any(|holder| holder.back_end == back_end) {
             return None;
@@ -179,7 +179,7 @@
             return;
         };
         let now = self.router.now();
-        let mut places = self.router.places.borrow_mut();
+        let mut places = self.router.prefix_locations.borrow_mut();
         let told = places
             .holders(part.id)
             .iter()
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -75,7 +75,7 @@
     pub(crate) started: Time,
     /// Its entry in the run times of its route.
     pub(crate) run: RunId,
-    /// Whether it is one of [`Router::taken_as_last`].
+    /// Whether it is one of [`Router::admitted_after_deregistration`].
     pub(crate) taken_as_last: bool,
     /// When it is over.
     pub(crate) limit: Time,
@@ -102,10 +102,12 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.router.exchanges.set(self.router.exchanges.get() - 1);
+        self.router
+            .requests_in_flight
+            .set(self.router.requests_in_flight.get() - 1);
         if self.taken_as_last {
-            let left = self.router.taken_as_last.get() - 1;
-            self.router.taken_as_last.set(left);
+            let left = self.router.admitted_after_deregistration.get() - 1;
+            self.router.admitted_after_deregistration.set(left);
         }
         if self.outcome == Outcome::Open && *self.router.phase.borrow() == Phase::Ended {
             self.outcome = Outcome::CutByStop;
@@ -117,7 +119,9 @@
             .metrics
             .count_request(self.outcome.word(), seconds);
         if self.returned {
-            self.router.metrics.count_return(self.outcome.word());
+            self.router
+                .metrics
+                .count_returning_caller(self.outcome.word());
         }
         let status = match self.outcome {
             Outcome::Answered(status) => status,
@@ -174,7 +178,7 @@
         let ended = tokio::select! {
             biased;
             ended = self.attempts() => Some(ended),
-            () = router.until_answer_due(limit) => None,
+            () = router.until_response_due(limit) => None,
             () = verdict => return ExchangeEnd::Refused(self.refusal_kind()),
         };
         match ended {
@@ -225,7 +229,7 @@
 
     /// Whether the answer to another attempt has time to become whole before the process ends.
     pub(crate) fn has_time_for_another(&mut self) -> bool {
-        self.ends_too_soon = !self.router.has_time_for_another(&self.route, self.limit);
+        self.ends_too_soon = !self.router.has_time_for_retry(&self.route, self.limit);
         if self.ends_too_soon {
             log::info!(target: "stop", "id={} another_attempt=false sends={}", self.id, self.ledger.sends);
         }
@@ -310,7 +314,7 @@
             RefusalKind::Busy
         } else if self.ledger.sends > 0 {
             RefusalKind::Rejected
-        } else if self.router.is_drained(self.pool()) {
+        } else if self.router.is_pool_drained(self.pool()) {
             RefusalKind::Drained
         } else {
             RefusalKind::NoBackEnd
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -62,11 +62,11 @@
                 follower.look(cause.as_str(), &mut calls);
                 continue;
             }
-            () = router.configuration_look.notified() => {
+            () = router.configuration_poll_due.notified() => {
                 follower.look("behind", &mut calls);
                 continue;
             }
-            () = router.resumed() => {
+            () = router.wait_for_resume() => {
                 follower.on_silence(Instant::now());
                 calls.next_after(Duration::ZERO);
                 continue;
@@ -118,7 +118,8 @@
 
 impl ConfigurationFollower {
     fn patience(&self) -> Duration {
-        self.store.patience(self.router.version() == 0)
+        self.store
+            .patience(self.router.configuration_version() == 0)
     }
 
     /// Revision after which to read; `None` for the configuration as it stands.
@@ -172,7 +173,7 @@
     fn peer_knows_more(&self) -> bool {
         let peers = self.router.peers.borrow();
         peers
-            .with_newer_configuration(self.router.version(), &[])
+            .with_newer_configuration(self.router.configuration_version(), &[])
             .is_some()
     }
 
@@ -183,7 +184,7 @@
             "look=true cause={} age_ms={} version={}",
             cause,
             self.router.configuration_age().unwrap_or_default().as_millis(),
-            self.router.version(),
+            self.router.configuration_version(),
         );
         self.looks.ask(cause, &self.router);
         calls.next_after(Duration::ZERO);
@@ -216,17 +217,17 @@
         let goes_on = self.looks.on_answer(SOURCE, known, news.told_at, router);
         self.pause.reset();
         self.store.on_lateness(call.lateness());
-        self.router.note_heard();
+        self.router.on_contact();
         self.silent_since = None;
         self.history_gone = false;
         self.known().note_read(news.revision);
-        self.router.take_zone_drain_news(&news.zone_drains);
-        self.router.take_rollout_orders(&news.rollouts);
+        self.router.apply_zone_drain_update(&news.zone_drains);
+        self.router.apply_rollout_orders(&news.rollouts);
         if news.zone_drains.snapshot_revision.is_some() {
             self.drains_missed = false;
         } else if self.drains_missed {
             self.drains_missed = false;
-            self.router.zone_drains_missed.notify_one();
+            self.router.zone_drain_read_due.notify_one();
         }
         self.behind = news.versions > 1 && call.transfer.arriving_for() >= LONG_TRANSFER;
         if news.versions > 0 {
@@ -236,7 +237,7 @@
             log::warn!(target: "configuration", "revision={} adopted=false cause=invalid", news.revision);
         }
         if let Some(configuration) = news.configuration {
-            self.router.adopt(Arc::new(configuration));
+            self.router.apply_configuration(Arc::new(configuration));
         }
         self.router
             .note_configuration_age(call.answer_age(self.store.lateness()), news.told_at);
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -99,7 +99,7 @@
             target: "directory",
             "look=true cause={cause} age_ms={} revision={}",
             self.router.directory_age_text(),
-            self.router.directory_changed.get(),
+            self.router.received_directory_revision.get(),
         );
         self.looks.ask(cause, &self.router);
         calls.next_after(Duration::ZERO);
@@ -161,8 +161,8 @@
             tokio::select! {
                 event = calls.event(patience) => return event,
                 cause = look, if may_look => self.look(cause.as_str(), calls),
-                () = self.router.directory_look.notified() => self.look("behind", calls),
-                () = self.router.resumed() => {
+                () = self.router.directory_poll_due.notified() => self.look("behind", calls),
+                () = self.router.wait_for_resume() => {
                     // What was missing may only have been unable to renew itself, and the call
                     // under way may wait on a connection that is gone.
                     self.store.on_failure(self.router.now(), SourceError::Suspended);
@@ -183,7 +183,7 @@
         self.pause.reset();
         self.store.on_lateness(call.lateness());
         self.store.on_answer(now);
-        self.router.note_heard();
+        self.router.on_contact();
         self.router.store_lost.set(false);
         self.known().note_read(news.revision);
         self.router
@@ -229,7 +229,7 @@
     }
 
     fn holds_any(&self) -> bool {
-        !self.router.held_departures.borrow().is_empty()
+        !self.router.pending_removals.borrow().is_empty()
     }
 
     fn release_held(&self) {
@@ -237,13 +237,17 @@
             return;
         }
         let mut change = DirectoryChange::default();
-        let gone = self.router.held_departures.borrow_mut().take_all();
+        let gone = self.router.pending_removals.borrow_mut().take_all();
         let mut back_ends = self.router.back_ends.borrow_mut();
         for departure in gone {
             back_ends.remove(departure, &mut change);
         }
         drop(back_ends);
-        report(&self.router, &change, self.router.directory_changed.get());
+        report(
+            &self.router,
+            &change,
+            self.router.received_directory_revision.get(),
+        );
     }
 
     fn take_news(&self, news: DirectoryNews, now: Time) {
@@ -266,7 +270,7 @@
     let mut revision = delta.revision;
     let mut change = DirectoryChange::default();
     let mut back_ends = router.back_ends.borrow_mut();
-    let mut held = router.held_departures.borrow_mut();
+    let mut held = router.pending_removals.borrow_mut();
     let mut gone = delta.gone;
     if delta.whole {
         let missing = back_ends.missing_from(&delta.present, read_at);
@@ -277,8 +281,8 @@
         gone.extend(missing);
         back_ends.on_snapshot(revision);
     }
-    let changed = router.directory_changed.get().max(revision);
-    router.directory_changed.set(changed);
+    let changed = router.received_directory_revision.get().max(revision);
+    router.received_directory_revision.set(changed);
     for entry in delta.present {
         held.on_renewed(&entry.id, entry.revision);
         back_ends.upsert(entry, now, &mut change);
@@ -318,6 +322,6 @@
     }
     router.on_vanished(&change.vanished);
     for id in change.gone.iter().chain(&change.restarted) {
-        router.places.borrow_mut().forget_back_end(id);
+        router.prefix_locations.borrow_mut().forget_back_end(id);
     }
 }
--- a/crates/stacktack-direct/src/followers/pause.rs
+++ b/crates/stacktack-direct/src/followers/pause.rs
@@ -45,7 +45,7 @@
         let spread = rand::rng().random_range(0.5..=1.0);
         let pause = self.next.mul_f64(spread);
         self.made += pause;
-        let informed = router.version() > 0
+        let informed = router.configuration_version() > 0
             && self.made >= TOLD_STILL
             && router.peers.borrow().any_directory_steady(router.now());
         let longest = if informed {
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -63,7 +63,7 @@
         let router = self.router.clone();
         loop {
             tokio::select! {
-                () = router.peer_knows_more.notified() => {}
+                () = router.newer_revision_announced.notified() => {}
                 () = sleep(LOOK) => {}
             }
             self.note_behind();
@@ -89,9 +89,12 @@
         let (budget, look) = match self.subject {
             Subject::Configuration => (
                 self.router.configuration_budget(),
-                &self.router.configuration_look,
+                &self.router.configuration_poll_due,
+            ),
+            Subject::Directory => (
+                self.router.directory_budget(),
+                &self.router.directory_poll_due,
             ),
-            Subject::Directory => (self.router.directory_budget(), &self.router.directory_look),
         };
         if self
             .behind_since
@@ -105,7 +108,7 @@
     /// Whether nothing is known of the subject.
     fn starts(&self) -> bool {
         match self.subject {
-            Subject::Configuration => self.router.version() == 0,
+            Subject::Configuration => self.router.configuration_version() == 0,
             Subject::Directory => self.router.directory_revision() == 0,
         }
     }
@@ -114,7 +117,7 @@
         let peers = self.router.peers.borrow();
         match self.subject {
             Subject::Configuration => {
-                peers.with_newer_configuration(self.router.version(), &self.passed_by)
+                peers.with_newer_configuration(self.router.configuration_version(), &self.passed_by)
             }
             Subject::Directory => {
                 // Not what was heard: a departure that is held here may be decided there.
@@ -128,7 +131,7 @@
     async fn wait_for_room(&mut self) {
         let another = async {
             while !self.knows_another_near() {
-                self.router.peer_knows_more.notified().await;
+                self.router.newer_revision_announced.notified().await;
             }
         };
         if timeout(LOOK, another).await.is_err() {
@@ -148,7 +151,7 @@
     async fn fetch(&mut self, peer: SocketAddr) -> Result<(), SourceError> {
         let transfer = Transfer::begin();
         let known = match self.subject {
-            Subject::Configuration => Known::Configuration(self.router.version()),
+            Subject::Configuration => Known::Configuration(self.router.configuration_version()),
             Subject::Directory => Known::Directory(self.router.directory_revision()),
         };
         let call = self.source.knowledge(peer, known, transfer.clone());
@@ -209,11 +212,11 @@
         let version = newer.version();
         let before = self.router.configuration.borrow().clone();
         match newer.over(before.as_deref()) {
-            Some(configuration) => self.router.adopt(Arc::new(configuration)),
+            Some(configuration) => self.router.apply_configuration(Arc::new(configuration)),
             None => log::info!(
                 target: "configuration",
                 "version={version} adopted=false cause=changes_from_another_version in_force={}",
-                self.router.version(),
+                self.router.configuration_version(),
             ),
         }
     }
--- a/crates/stacktack-direct/src/followers/rollouts.rs
+++ b/crates/stacktack-direct/src/followers/rollouts.rs
@@ -21,7 +21,7 @@
     let mut pause = Pause::new();
     loop {
         router.rollout_write_due.notified().await;
-        for write in router.rollout_writes() {
+        for write in router.due_rollout_writes() {
             match write_status(&router, source.as_ref(), &store, &write).await {
                 Ok(()) => pause.reset(),
                 Err(error) => {
@@ -62,6 +62,6 @@
         write.state.as_str(),
         transfer.elapsed().as_millis(),
     );
-    router.on_rollout_write(write, &end);
+    router.on_rollout_write_result(write, &end);
     Ok(())
 }
--- a/crates/stacktack-direct/src/followers/verdicts.rs
+++ b/crates/stacktack-direct/src/followers/verdicts.rs
@@ -144,7 +144,7 @@
             transfer.elapsed().as_millis(),
         );
         for change in changes {
-            self.router.note_treatment(Some(change), "store");
+            self.router.on_treatment_change(Some(change), "store");
         }
         self.last_read = begun;
         self.failed_reads = 0;
--- a/crates/stacktack-direct/src/followers/zone_drains.rs
+++ b/crates/stacktack-direct/src/followers/zone_drains.rs
@@ -21,7 +21,7 @@
 ) {
     let mut pause = Pause::new();
     loop {
-        router.zone_drains_missed.notified().await;
+        router.zone_drain_read_due.notified().await;
         while !read(&router, source.as_ref(), &store).await {
             sleep(pause.take(&router)).await;
         }
@@ -46,7 +46,7 @@
                 news.changes.len(),
                 transfer.elapsed().as_millis(),
             );
-            router.take_zone_drain_news(&news);
+            router.apply_zone_drain_update(&news);
             true
         }
         Err(error) => {
@@ -74,7 +74,7 @@
     let call = source.rollout_orders(transfer.clone());
     match while_moving(call, &transfer, store.patience(false)).await {
         Ok(news) => {
-            router.take_rollout_orders(&news);
+            router.apply_rollout_orders(&news);
             true
         }
         Err(error) => {
--- a/crates/stacktack-direct/src/freshness.rs
+++ b/crates/stacktack-direct/src/freshness.rs
@@ -171,7 +171,7 @@
     /// Ages to tell peers.
     pub fn told_ages(&self) -> SourceAges {
         // While a departure is held, more than what is told as known has been heard.
-        let decided = self.held_departures.borrow().is_empty();
+        let decided = self.pending_removals.borrow().is_empty();
         let directory = self.directory_age().filter(|_| decided);
         SourceAges {
             directory: directory.and_then(EncodedAge::new),
@@ -181,7 +181,7 @@
 
     /// The last answers of the store, to tell peers.
     pub fn told_reads(&self) -> SourceReads {
-        let decided = self.held_departures.borrow().is_empty();
+        let decided = self.pending_removals.borrow().is_empty();
         let directory = decided.then(|| self.freshness.directory.read());
         SourceReads {
             directory: directory.unwrap_or_default(),
@@ -194,7 +194,7 @@
     pub fn take_ages(&self, news: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
         let now = self.now();
         let as_of = |told: Option<EncodedAge>| told.map(|told| now - told.age());
-        if self.held_departures.borrow().is_empty() {
+        if self.pending_removals.borrow().is_empty() {
             let claim = Claim {
                 revision: news.directory,
                 as_of: as_of(ages.directory),
@@ -220,7 +220,7 @@
     }
 
     fn take_configuration_claim(&self, claim: Claim) {
-        let (known, budget) = (self.version(), self.configuration_budget());
+        let (known, budget) = (self.configuration_version(), self.configuration_budget());
         let configuration = &self.freshness.configuration;
         if configuration.take(claim, known, &budget, self.now()) {
             self.push_due.notify_one();
@@ -254,8 +254,8 @@
                 target: "directory",
                 "stale=true age_ms={} revision={} held={} store_lost={}",
                 age.as_millis(),
-                self.directory_changed.get(),
-                self.held_departures.borrow().len(),
+                self.received_directory_revision.get(),
+                self.pending_removals.borrow().len(),
                 self.store_lost.get(),
             );
         }
--- a/crates/stacktack-direct/src/knowledge.rs
+++ b/crates/stacktack-direct/src/knowledge.rs
@@ -110,8 +110,8 @@
     /// Whole documents of the kind that a router which starts asks for; `None` for one that asks for changes.
     fn hand_overs(self, router: &Router) -> Option<&RefCell<SnapshotTransfers>> {
         match self {
-            Known::Configuration(0) => Some(&router.configurations_handed),
-            Known::Directory(0) => Some(&router.directories_handed),
+            Known::Configuration(0) => Some(&router.configuration_transfers),
+            Known::Directory(0) => Some(&router.directory_transfers),
             _ => None,
         }
     }
--- a/crates/stacktack-direct/src/metrics.rs
+++ b/crates/stacktack-direct/src/metrics.rs
@@ -113,7 +113,7 @@
     }
 
     /// Counts the end of a request whose caller came back after a refusal.
-    pub fn count_return(&self, outcome: &'static str) {
+    pub fn count_returning_caller(&self, outcome: &'static str) {
         self.returns.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Counts the end of a back end.
-    pub fn count_ended(&self, cause: &'static str) {
+    pub fn count_crash(&self, cause: &'static str) {
         self.ended.add(1, &[KeyValue::new("cause", cause)]);
     }
 
@@ -148,7 +148,7 @@
 
     /// Counts a request that was taken while nobody was refused: few of these may count as
     /// returned.
-    pub fn count_calm(&self, returned: bool) {
+    pub fn count_admitted_without_refusals(&self, returned: bool) {
         self.calm.add(1, &[KeyValue::new("returned", returned)]);
     }
 
--- a/crates/stacktack-direct/src/news.rs
+++ b/crates/stacktack-direct/src/news.rs
@@ -33,13 +33,13 @@
         };
         match decode(&buffer[..length]) {
             Ok(datagram) => {
-                router.note_running();
+                router.record_activity();
                 take(&router, &datagram.news);
-                if router.reads_in_time() {
+                if router.is_caught_up() {
                     router.take_ages(&datagram.news, &datagram.ages, &datagram.reads);
                 }
                 take_records(&router, &datagram.records);
-                router.take_rollout_news(&datagram.rollouts);
+                router.merge_rollout_gossip(&datagram.rollouts);
             }
             Err(error) => log::debug!(target: "peers", "a datagram does not parse: {error}"),
         }
@@ -49,14 +49,16 @@
 /// Takes what a peer tells of itself and of others.
 pub fn take(router: &Router, news: &PeerGossip) {
     let now = router.now();
-    router.note_heard();
+    router.on_contact();
     let joined = router.peers.borrow_mut().receive(news, now);
-    let has_all = router.version() > 0 && router.directory_revision() > 0;
+    let has_all = router.configuration_version() > 0 && router.directory_revision() > 0;
     if has_all && router.peers.borrow().has_uninitialized_peers() {
-        router.newcomer_waits.notify_one();
+        router.bootstrap_push_due.notify_one();
     }
-    if news.configuration > router.version() || news.directory > router.directory_revision() {
-        router.peer_knows_more.notify_waiters();
+    if news.configuration > router.configuration_version()
+        || news.directory > router.directory_revision()
+    {
+        router.newer_revision_announced.notify_waiters();
     }
     if joined {
         log::info!(
@@ -72,16 +74,16 @@
     back_ends.merge_reported_loads(&news.reported_loads, now);
     drop(back_ends);
     for drain in &news.zone_drains {
-        router.take_zone_drain(drain, "peer");
+        router.merge_zone_drain(drain, "peer");
     }
     if !news.suspects.is_empty() {
-        router.take_accusations(news.from, &news.suspects);
+        router.apply_suspect_reports(news.from, &news.suspects);
     }
     if news.prefix_locations.is_empty() {
         return;
     }
     let back_ends = router.back_ends.borrow();
-    let mut places = router.places.borrow_mut();
+    let mut places = router.prefix_locations.borrow_mut();
     for (part, short) in &news.prefix_locations {
         if let Some(id) = back_ends.resolve_short_id(*short) {
             places.record(*part, id, now);
@@ -98,7 +100,7 @@
     let draw = rand::rng().random();
     let changes = router.quarantine.borrow_mut().merge(records, draw, now);
     for change in changes {
-        router.note_treatment(Some(change), "peer");
+        router.on_treatment_change(Some(change), "peer");
     }
 }
 
@@ -108,13 +110,13 @@
     loop {
         let due = Instant::now() + INTERVAL;
         sleep(INTERVAL).await;
-        router.note_lag(due.elapsed());
-        router.note_running();
-        router.look_for_suspension();
+        router.record_timer_lag(due.elapsed());
+        router.record_activity();
+        router.check_for_suspension();
         tell(&router, &socket, &store).await;
-        router.take_peer_loads();
-        router.update_cold();
-        router.judge_rollouts();
+        router.apply_peer_loads();
+        router.update_slow_start();
+        router.evaluate_rollouts();
     }
 }
 
@@ -123,7 +125,7 @@
     loop {
         let spread = tokio::select! {
             () = router.push_due.notified() => true,
-            () = router.newcomer_waits.notified() => false,
+            () = router.bootstrap_push_due.notified() => false,
         };
         let own = own_news(&router, &store);
         let outgoing = {
@@ -139,7 +141,7 @@
     let now = router.now();
     let all_loads = router.peers.borrow().has_short_round();
     OwnGossip {
-        configuration: router.version(),
+        configuration: router.configuration_version(),
         directory: router.directory_revision(),
         serving: router.is_ready(),
         directory_steady: store.is_steady(now) && router.directory_is_watched(),
@@ -165,7 +167,7 @@
     let reads = router.told_reads();
     let records = router.quarantine.borrow_mut().gossip(router.now());
     for datagram in outgoing {
-        let rollouts = router.told_rollouts();
+        let rollouts = router.rollout_gossip();
         let bytes = encode_with_rollouts(&datagram.gossip, &records, &ages, &reads, &rollouts);
         let bytes = match bytes {
             Ok(bytes) => bytes,
--- a/crates/stacktack-direct/src/quarantine.rs
+++ b/crates/stacktack-direct/src/quarantine.rs
@@ -20,7 +20,7 @@
 const WATCHED_LOAD_SLACK: f64 = 2.0;
 
 /// Which request a head, a body and a caller make.
-pub(crate) fn digest_of(
+pub(crate) fn request_digest(
     head: &request::Parts,
     body: &Bytes,
     tenant: Option<&Tenant>,
@@ -50,7 +50,11 @@
     }
 
     /// Says that a request is treated otherwise from now on, and by whose word.
-    pub(crate) fn note_treatment(&self, change: Option<TreatmentChange>, source: &'static str) {
+    pub(crate) fn on_treatment_change(
+        &self,
+        change: Option<TreatmentChange>,
+        source: &'static str,
+    ) {
         let Some(change) = change else {
             return;
         };
@@ -98,7 +102,7 @@
     pub(crate) fn digest(&self) -> RequestDigest {
         *self
             .digest
-            .get_or_init(|| digest_of(&self.head, &self.body, self.tenant.as_deref()))
+            .get_or_init(|| request_digest(&self.head, &self.body, self.tenant.as_deref()))
     }
 
     /// How it is to be treated now.
@@ -107,7 +111,7 @@
     }
 
     /// A back end ran it to an end and lives: whatever ended under it was not its doing.
-    pub(crate) fn note_good_run(&self) {
+    pub(crate) fn on_successful_run(&self) {
         if self.router.quarantine.borrow().is_empty() {
             return;
         }
@@ -118,7 +122,7 @@
             .quarantine
             .borrow_mut()
             .on_successful_run(digest, now);
-        self.router.note_treatment(change, "good_run");
+        self.router.on_treatment_change(change, "good_run");
     }
 
     /// The back end for a request on probation; `None` while none that may take it can.
@@ -143,9 +147,9 @@
         let life = back_ends
             .get(back_end)
             .map(|known| InstanceId::of(&known.entry));
-        let has_ended = life.is_some_and(|life| router.broken_runs.borrow().has_ended(life));
+        let has_ended = life.is_some_and(|life| router.interrupted_runs.borrow().has_ended(life));
         let is_tried = self.tried.iter().any(|tried| tried == back_end);
-        !has_ended && !is_tried && !router.probations.borrow().contains(back_end)
+        !has_ended && !is_tried && !router.back_ends_on_probation.borrow().contains(back_end)
     }
 
     fn probation_choice(&self, candidates: &Candidates, index: usize, mean: f64) -> Choice {
--- a/crates/stacktack-direct/src/respond.rs
+++ b/crates/stacktack-direct/src/respond.rs
@@ -61,7 +61,7 @@
     attempt: Attempt,
 ) -> Response<AnswerBody> {
     exchange.note_failure(AttemptFailure::Failed, "-");
-    exchange.note_good_run();
+    exchange.on_successful_run();
     if matches!(answer.source, AnswerSource::Whole(_)) {
         attempt.finish();
     }
@@ -80,7 +80,7 @@
     head.headers = exchange.router.protocol.answer_headers(&head.headers);
     let body = match source {
         AnswerSource::Whole(bytes) => {
-            exchange.note_good_run();
+            exchange.on_successful_run();
             attempt.on_whole();
             attempt.finish();
             exchange.outcome = Outcome::Answered(head.status.as_u16());
@@ -112,7 +112,7 @@
     let usual = match kind {
         RefusalKind::Drained => DRAINED_RETRY_AFTER,
         RefusalKind::OnProbation => PROBATION_RETRY_AFTER,
-        RefusalKind::Stopping => exchange.router.until_next_serving(),
+        RefusalKind::Stopping => exchange.router.time_until_serving(),
         _ => RETRY_AFTER,
     };
     let come_back = exchange.come_back.unwrap_or(usual);
@@ -150,7 +150,7 @@
         RefusalKind::NotReady if router.store_lost.get() => Some(OUTAGE_RETRY_AFTER),
         RefusalKind::NotReady => Some(NOT_READY_RETRY_AFTER),
         RefusalKind::Stopping if router.peers.borrow().any_serving() => Some(RETRY_AFTER),
-        RefusalKind::Stopping => Some(router.until_next_serving()),
+        RefusalKind::Stopping => Some(router.time_until_serving()),
         _ => None,
     }
 }
--- a/crates/stacktack-direct/src/rollouts.rs
+++ b/crates/stacktack-direct/src/rollouts.rs
@@ -24,7 +24,7 @@
 
 impl Router {
     /// Serves roll-outs from now on, where a bound is set.
-    pub fn serve_rollouts(&self) -> Result<(), ChartError> {
+    pub fn enable_rollouts(&self) -> Result<(), ChartError> {
         let incarnation = self.peers.borrow().incarnation();
         let rollouts = Rollouts::new(incarnation, self.bounds().exposure)?;
         self.rollouts.replace(Some(rollouts));
@@ -32,7 +32,7 @@
     }
 
     /// Takes what the operator ordered.
-    pub fn take_rollout_orders(&self, news: &RolloutOrderNews) {
+    pub fn apply_rollout_orders(&self, news: &RolloutOrderNews) {
         let now = self.now();
         for order in &news.orders {
             let mut rollouts = self.rollouts.borrow_mut();
@@ -50,7 +50,7 @@
     }
 
     /// Takes what a peer tells.
-    pub(crate) fn take_rollout_news(&self, news: &[RolloutGossip]) {
+    pub(crate) fn merge_rollout_gossip(&self, news: &[RolloutGossip]) {
         if news.is_empty() {
             return;
         }
@@ -69,7 +69,7 @@
     }
 
     /// What to tell peers.
-    pub(crate) fn told_rollouts(&self) -> Vec<RolloutGossip> {
+    pub(crate) fn rollout_gossip(&self) -> Vec<RolloutGossip> {
         let now = self.now();
         let mut rollouts = self.rollouts.borrow_mut();
         rollouts
@@ -78,7 +78,7 @@
     }
 
     /// Judges what is known of versions that are rolled out.
-    pub fn judge_rollouts(&self) {
+    pub fn evaluate_rollouts(&self) {
         let now = self.now();
         let changes = {
             let mut rollouts = self.rollouts.borrow_mut();
@@ -93,13 +93,13 @@
             rollouts.tick(now)
         };
         self.note_rollout_changes(&changes);
-        if !self.rollout_writes().is_empty() {
+        if !self.due_rollout_writes().is_empty() {
             self.rollout_write_due.notify_one();
         }
     }
 
     /// Writes to the store that are due.
-    pub fn rollout_writes(&self) -> Vec<StatusWrite> {
+    pub fn due_rollout_writes(&self) -> Vec<StatusWrite> {
         let now = self.now();
         let rollouts = self.rollouts.borrow();
         rollouts
@@ -108,7 +108,7 @@
     }
 
     /// A write to the store ended.
-    pub fn on_rollout_write(&self, write: &StatusWrite, end: &StatusWriteResult) {
+    pub fn on_rollout_write_result(&self, write: &StatusWrite, end: &StatusWriteResult) {
         let now = self.now();
         let changes = {
             let mut rollouts = self.rollouts.borrow_mut();
@@ -121,10 +121,10 @@
     }
 
     /// Which back ends of a pool a request may go to.
-    pub(crate) fn version_choice(&self, pool: &[Requirement], is_first_try: bool) -> VersionChoice {
+    pub(crate) fn version_filter(&self, pool: &[Requirement], is_first_try: bool) -> VersionFilter {
         let rollouts = self.rollouts.borrow();
         let Some(rollouts) = rollouts.as_ref().filter(|rollouts| !rollouts.is_empty()) else {
-            return VersionChoice::All;
+            return VersionFilter::All;
         };
         let back_ends = self.back_ends.borrow();
         let members = || {
@@ -132,18 +132,22 @@
             all.filter(|entry| matches_all(pool, &entry.labels))
         };
         let Some(service) = members().find_map(BackEndEntry::service) else {
-            return VersionChoice::All;
+            return VersionFilter::All;
         };
         if members().any(|entry| is_other(rollouts, service, entry)) {
-            VersionChoice::Side(rollouts.select_version(service, is_first_try, self.now()))
+            VersionFilter::Selected(rollouts.select_version(service, is_first_try, self.now()))
         } else {
-            VersionChoice::All
+            VersionFilter::All
         }
     }
 
     /// Whether a back end may get a request that makes such a choice.
-    pub(crate) fn may_choose(&self, entry: &BackEndEntry, choice: VersionChoice) -> bool {
-        let VersionChoice::Side(side) = choice else {
+    pub(crate) fn matches_version_filter(
+        &self,
+        entry: &BackEndEntry,
+        choice: VersionFilter,
+    ) -> bool {
+        let VersionFilter::Selected(side) = choice else {
             return true;
         };
         let rollouts = self.rollouts.borrow();
@@ -160,7 +164,7 @@
     }
 
     /// Whether the version of a back end is to get nothing, while another one is there.
-    pub(crate) fn is_withheld(&self, entry: &BackEndEntry, back_ends: &BackEnds) -> bool {
+    pub(crate) fn is_version_blocked(&self, entry: &BackEndEntry, back_ends: &BackEnds) -> bool {
         let rollouts = self.rollouts.borrow();
         let rollouts = rollouts.as_ref().filter(|rollouts| !rollouts.is_empty());
         let (Some(rollouts), Some(service)) = (rollouts, entry.service()) else {
@@ -223,7 +227,7 @@
 
     /// Says once that an order cannot be taken.
     fn note_refused(&self, refused: &RefusedOrder) {
-        let mut known = self.refused_rollouts.borrow_mut();
+        let mut known = self.refused_rollout_orders.borrow_mut();
         let is_known = known
             .get(&refused.name)
             .is_some_and(|revision| *revision >= refused.revision);
@@ -268,11 +272,11 @@
 
 /// Which back ends of a pool a request may go to, as far as versions decide that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum VersionChoice {
+pub(crate) enum VersionFilter {
     /// All: there is no roll-out, or no other version to go to.
     All,
     /// Those of one side of a roll-out.
-    Side(VersionSelection),
+    Selected(VersionSelection),
 }
 
 /// Whether a back end is of another version than the one that is rolled out, and may get
@@ -283,7 +287,7 @@
 }
 
 /// What one attempt tells of the version of its back end.
-pub(crate) struct VersionWatch {
+pub(crate) struct VersionObserver {
     service: String,
     version: String,
     route: Arc<Route>,
@@ -296,7 +300,7 @@
 /// Objectives after which an attempt that was dropped without an answer counts as slow.
 const DROPPED_OBJECTIVES: u32 = 2;
 
-impl VersionWatch {
+impl VersionObserver {
     /// For an attempt at a back end; `None` where its service has no roll-out.
     pub(crate) fn begin(router: &Router, back_end: &str, route: &Arc<Route>) -> Option<Self> {
         let mut rollouts = router.rollouts.borrow_mut();
@@ -305,7 +309,7 @@
         let entry = &back_ends.get(back_end)?.entry;
         let service = entry.service()?;
         rollouts.state(service)?;
-        let watch = VersionWatch {
+        let watch = VersionObserver {
             service: service.to_owned(),
             version: entry.version().to_owned(),
             route: route.clone(),
--- a/crates/stacktack-direct/src/room.rs
+++ b/crates/stacktack-direct/src/room.rs
@@ -93,7 +93,7 @@
 
     fn pool_lacks_room(&self, pool: Option<PoolLoad>) -> Option<RoomCause> {
         let now = self.router.now();
-        let routers = self.router.routers();
+        let routers = self.router.router_count();
         let draw: f64 = rand::rng().random();
         self.with_admission(|admission, request| {
             let answer = pool.map(|pool| admission.decide(request, pool, routers, now));
@@ -121,7 +121,9 @@
             });
             self.returned = returned;
             if calm {
-                self.router.metrics.count_calm(returned);
+                self.router
+                    .metrics
+                    .count_admitted_without_refusals(returned);
             }
         }
     }
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -78,17 +78,17 @@
     /// Zones whose back ends get no requests.
     pub zone_drains: RefCell<ZoneDrains>,
     /// Told when what the operator's store says of zones has to be read anew.
-    pub zone_drains_missed: Notify,
+    pub zone_drain_read_due: Notify,
     /// Roll-outs; `None` where they are not served.
     pub rollouts: RefCell<Option<Rollouts>>,
     /// Told when the store is to hear of a roll-out.
     pub(crate) rollout_write_due: Notify,
     /// Orders to roll out versions that cannot be taken and were logged: revisions by name.
-    pub(crate) refused_rollouts: RefCell<HashMap<String, u64>>,
+    pub(crate) refused_rollout_orders: RefCell<HashMap<String, u64>>,
     /// Resting connections to back ends.
     pub connections: RefCell<RestingConnections>,
     /// Where prompt parts were last read.
-    pub places: RefCell<PrefixLocations>,
+    pub prefix_locations: RefCell<PrefixLocations>,
     /// Room of each pool.
     admissions: RefCell<HashMap<String, PoolAdmission>>,
     /// Prompt parts of requests of late, by the name of their pool.
@@ -98,35 +98,35 @@
     /// The other routers.
     pub peers: RefCell<Peers>,
     /// Whole directories on their way to peers that start.
-    pub(crate) directories_handed: RefCell<SnapshotTransfers>,
+    pub(crate) directory_transfers: RefCell<SnapshotTransfers>,
     /// Whole configurations on their way to peers that start.
-    pub(crate) configurations_handed: RefCell<SnapshotTransfers>,
+    pub(crate) configuration_transfers: RefCell<SnapshotTransfers>,
     /// Newest change of the directory that was heard.
-    pub directory_changed: Cell<u64>,
+    pub received_directory_revision: Cell<u64>,
     /// How new what is known of the sources is.
     pub(crate) freshness: KnownFreshness,
     /// Told when something is known here that others are to hear at once.
     pub(crate) push_due: Notify,
     /// Told when a router that starts is to be told what is known.
-    pub(crate) newcomer_waits: Notify,
+    pub(crate) bootstrap_push_due: Notify,
     /// Told when a peer says that it knows more.
-    pub(crate) peer_knows_more: Notify,
+    pub(crate) newer_revision_announced: Notify,
     /// Told when the store is to be asked for what peers know and do not tell.
-    pub(crate) configuration_look: Notify,
-    pub(crate) directory_look: Notify,
+    pub(crate) configuration_poll_due: Notify,
+    pub(crate) directory_poll_due: Notify,
     /// When this process was last seen to run, and when it last went on after it had stood still.
     ran: Cell<Time>,
     went_on: Cell<Option<Time>>,
     /// Back ends that vanished from the directory and may come back.
-    pub held_departures: RefCell<PendingRemovals>,
+    pub pending_removals: RefCell<PendingRemovals>,
     /// Runs that broke off, until it is known whether their back end ended.
-    pub(crate) broken_runs: RefCell<InterruptedRuns>,
+    pub(crate) interrupted_runs: RefCell<InterruptedRuns>,
     /// Looks at whether back ends still accept connections.
-    pub(crate) looks: RefCell<HashMap<InstanceId, Look>>,
+    pub(crate) crash_probes: RefCell<HashMap<InstanceId, Look>>,
     /// Requests that end back ends.
     pub quarantine: RefCell<Quarantine>,
     /// Back ends that run a request on probation.
-    pub(crate) probations: RefCell<HashSet<String>>,
+    pub(crate) back_ends_on_probation: RefCell<HashSet<String>>,
     /// Verdicts so far.
     pub(crate) verdicts: watch::Sender<u64>,
     /// Counters and histograms.
@@ -136,17 +136,17 @@
     /// The stop signal, once it came.
     pub(crate) planned_stop: Cell<Option<PlannedStop>>,
     /// Requests under way that were taken while nobody else served, after callers had looked away.
-    pub(crate) taken_as_last: Cell<usize>,
+    pub(crate) admitted_after_deregistration: Cell<usize>,
     /// Requests whose bodies are being read.
-    pub(crate) arriving: Cell<usize>,
+    pub(crate) requests_being_read: Cell<usize>,
     /// Callers' connections whose last answer may not have left yet.
-    pub(crate) answering: Cell<usize>,
+    pub(crate) connections_flushing: Cell<usize>,
     /// How long requests took of late, by route.
     pub(crate) run_times: RefCell<HashMap<String, RunTimes>>,
     /// Whether the store does not answer.
     pub store_lost: Cell<bool>,
     /// Requests under way.
-    pub exchanges: Cell<usize>,
+    pub requests_in_flight: Cell<usize>,
     /// Open callers' connections.
     pub open_connections: Cell<usize>,
     pub(crate) clock: Rc<dyn Clock>,
@@ -156,7 +156,7 @@
     /// Suspensions so far.
     pub(crate) suspensions: watch::Sender<u64>,
     /// When a suspension was over after which nobody was heard yet.
-    pub(crate) unheard_since: Cell<Option<Time>>,
+    pub(crate) no_contact_since: Cell<Option<Time>>,
 }
 
 /// Lateness of a timer from which the process is late: what it reads then may have waited.
@@ -196,48 +196,48 @@
             configuration_history: RefCell::default(),
             back_ends: RefCell::default(),
             zone_drains: RefCell::default(),
-            zone_drains_missed: Notify::new(),
+            zone_drain_read_due: Notify::new(),
             rollouts: RefCell::default(),
             rollout_write_due: Notify::new(),
-            refused_rollouts: RefCell::default(),
+            refused_rollout_orders: RefCell::default(),
             connections: RefCell::default(),
-            places: RefCell::default(),
+            prefix_locations: RefCell::default(),
             admissions: RefCell::default(),
             part_shares: RefCell::default(),
             pools: RefCell::default(),
             peers: RefCell::new(peers),
-            directories_handed: RefCell::default(),
-            configurations_handed: RefCell::default(),
-            directory_changed: Cell::new(0),
+            directory_transfers: RefCell::default(),
+            configuration_transfers: RefCell::default(),
+            received_directory_revision: Cell::new(0),
             freshness: KnownFreshness::default(),
             push_due: Notify::new(),
-            newcomer_waits: Notify::new(),
-            peer_knows_more: Notify::new(),
-            configuration_look: Notify::new(),
-            directory_look: Notify::new(),
+            bootstrap_push_due: Notify::new(),
+            newer_revision_announced: Notify::new(),
+            configuration_poll_due: Notify::new(),
+            directory_poll_due: Notify::new(),
             ran: Cell::new(Time(0)),
             went_on: Cell::default(),
-            held_departures: RefCell::default(),
-            broken_runs: RefCell::default(),
-            looks: RefCell::default(),
+            pending_removals: RefCell::default(),
+            interrupted_runs: RefCell::default(),
+            crash_probes: RefCell::default(),
             quarantine: RefCell::default(),
-            probations: RefCell::default(),
+            back_ends_on_probation: RefCell::default(),
             verdicts: watch::Sender::new(0),
             metrics,
             phase: watch::Sender::new(Phase::Serving),
             planned_stop: Cell::default(),
-            taken_as_last: Cell::new(0),
-            arriving: Cell::new(0),
-            answering: Cell::new(0),
+            admitted_after_deregistration: Cell::new(0),
+            requests_being_read: Cell::new(0),
+            connections_flushing: Cell::new(0),
             run_times: RefCell::default(),
             store_lost: Cell::new(false),
-            exchanges: Cell::new(0),
+            requests_in_flight: Cell::new(0),
             open_connections: Cell::new(0),
             clock,
             origin: begun.elapsed,
             suspension_detector: Cell::new(SuspensionDetector::new(&begun)),
             suspensions: watch::Sender::new(0),
-            unheard_since: Cell::default(),
+            no_contact_since: Cell::default(),
         }
     }
 
@@ -252,7 +252,7 @@
         *self.phase.borrow() == Phase::Serving
             && self.configuration.borrow().is_some()
             && self.back_ends.borrow().count_accepting_work() > 0
-            && !self.awaits_news()
+            && !self.awaits_contact()
     }
 
     /// Bounds in force.
@@ -263,7 +263,7 @@
     /// Takes over what may change while the process runs: bounds and seeds.
     pub fn reload(&self, settings: &DirectSettings) {
         self.bounds.set(settings.bounds);
-        self.shorten_stop(settings.bounds.grace);
+        self.shorten_grace(settings.bounds.grace);
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
             pool.budget.set_bound(settings.bounds.retries);
@@ -273,7 +273,7 @@
     }
 
     /// Version of the configuration in force; 0 for none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         let known = self.configuration.borrow();
         known.as_ref().map_or(0, |known| known.version)
     }
@@ -287,12 +287,12 @@
 
     /// Revision up to which the directory is known and decided.
     pub fn directory_revision(&self) -> u64 {
-        let held = self.held_departures.borrow();
-        held.decided_revision(self.directory_changed.get())
+        let held = self.pending_removals.borrow();
+        held.decided_revision(self.received_directory_revision.get())
     }
 
     /// The process runs now. What it reads may have waited for as long as it stood still before.
-    pub fn note_running(&self) {
+    pub fn record_activity(&self) {
         let now = self.now();
         if now.since(self.ran.replace(now)) >= STOOD_STILL {
             self.went_on.set(Some(now));
@@ -300,7 +300,7 @@
     }
 
     /// Whether what is read now came when it is read: the process has not stood still of late.
-    pub fn reads_in_time(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         let now = self.now();
         self.went_on
             .get()
@@ -308,7 +308,7 @@
     }
 
     /// A timer of the process fired this late.
-    pub fn note_lag(&self, lag: Duration) {
+    pub fn record_timer_lag(&self, lag: Duration) {
         self.metrics.record_lag(lag.as_secs_f64());
         if lag >= LATE {
             log::warn!(target: "process", "late_ms={}", lag.as_millis());
@@ -334,7 +334,7 @@
     }
 
     /// Takes over what the peers have in flight.
-    pub fn take_peer_loads(&self) {
+    pub fn apply_peer_loads(&self) {
         let loads = self.peers.borrow().in_flight();
         let fresh = self.peers.borrow().has_short_round();
         for back_end in self.back_ends.borrow_mut().iter_mut() {
@@ -355,7 +355,7 @@
     }
 
     /// Takes over which back ends a peer suspects.
-    pub fn take_accusations(&self, peer: SocketAddr, suspects: &[ShortId]) {
+    pub fn apply_suspect_reports(&self, peer: SocketAddr, suspects: &[ShortId]) {
         let now = self.now();
         let mut back_ends = self.back_ends.borrow_mut();
         for back_end in back_ends.iter_mut() {
@@ -373,7 +373,7 @@
     }
 
     /// Sets what this router may send to back ends that are cold.
-    pub fn update_cold(&self) {
+    pub fn update_slow_start(&self) {
         let configuration = self.configuration.borrow();
         let Some(configuration) = configuration.as_ref() else {
             return;
@@ -393,7 +393,7 @@
     }
 
     /// Takes a configuration if it is newer than the one in force.
-    pub fn adopt(&self, configuration: Arc<TrafficConfiguration>) {
+    pub fn apply_configuration(&self, configuration: Arc<TrafficConfiguration>) {
         let mut known = self.configuration.borrow_mut();
         let before = known.as_ref().map_or(0, |known| known.version);
         let newer = known.is_none() || configuration.version > before;
@@ -461,7 +461,7 @@
     }
 
     /// Routers that send to the same pools, this one among them.
-    pub fn routers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.peers.borrow().live_count() + 1
     }
 }
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -115,7 +115,7 @@
             choice.standing.as_str(),
             fetch_from.map_or_else(|| "-".to_owned(), |holder| holder.to_string()),
             self.version,
-            self.router.directory_changed.get(),
+            self.router.received_directory_revision.get(),
             self.router.directory_age_text(),
             self.router.peers.borrow().live_count(),
         );
@@ -282,7 +282,7 @@
                         body: body.to_bytes(),
                     };
                     attempt.finish();
-                    self.note_good_run();
+                    self.on_successful_run();
                     AttemptEnd::Failure(AttemptFailure::Failed, Some(stored))
                 }
                 Err(_) => {
--- a/crates/stacktack-direct/src/server.rs
+++ b/crates/stacktack-direct/src/server.rs
@@ -135,7 +135,7 @@
     }
 
     fn set_answering(&self, answering: bool) {
-        let count = &self.router.answering;
+        let count = &self.router.connections_flushing;
         match (self.answering.replace(answering), answering) {
             (false, true) => count.set(count.get() + 1),
             (true, false) => count.set(count.get() - 1),
@@ -174,7 +174,7 @@
             let passed = passed.clone();
             activity.set(true);
             async move {
-                let mut response = admission::answer(router.clone(), request).await;
+                let mut response = admission::handle_request(router.clone(), request).await;
                 if *router.phase.borrow() != Phase::Serving {
                     let close = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, close);
--- a/crates/stacktack-direct/src/stopping.rs
+++ b/crates/stacktack-direct/src/stopping.rs
@@ -30,7 +30,7 @@
         target: "router",
         "stopping open_connections={} requests={}",
         router.open_connections.get(),
-        router.exchanges.get(),
+        router.requests_in_flight.get(),
     );
     router.phase.send_replace(Phase::Closing);
     router.until_in_stop(PlannedStop::deregistered_at).await;
@@ -40,7 +40,7 @@
         "taking=false after_ms={} others_serve={} requests={}",
         stop.age(router.now()).as_millis(),
         router.peers.borrow().any_serving(),
-        router.exchanges.get(),
+        router.requests_in_flight.get(),
     );
     router.phase.send_replace(Phase::Draining);
     drain(router).await;
@@ -50,9 +50,9 @@
         "stopped after_ms={} open_connections={} cut={} unfinished={} unread={}",
         stop.age(router.now()).as_millis(),
         router.open_connections.get(),
-        router.exchanges.get(),
-        router.arriving.get(),
-        router.answering.get(),
+        router.requests_in_flight.get(),
+        router.requests_being_read.get(),
+        router.connections_flushing.get(),
     );
 }
 
@@ -60,7 +60,7 @@
 /// process. Those taken here prolong that by their own answers only.
 async fn serve_as_the_last(router: &Router) {
     while !router.peers.borrow().any_serving()
-        && router.exchanges.get() > router.taken_as_last.get()
+        && router.requests_in_flight.get() > router.admitted_after_deregistration.get()
         && router.now() < router.stop_end()
     {
         router.poll_in_stop().await;
@@ -72,7 +72,9 @@
     let mut quiet_since = None;
     while router.open_connections.get() > 0 && router.now() < router.stop_end() {
         router.poll_in_stop().await;
-        quiet_since = match router.exchanges.get() + router.arriving.get() + router.answering.get()
+        quiet_since = match router.requests_in_flight.get()
+            + router.requests_being_read.get()
+            + router.connections_flushing.get()
         {
             0 => quiet_since.or(Some(router.now())),
             _ => None,
@@ -93,7 +95,7 @@
     }
 
     /// Takes over a shorter grace.
-    pub(crate) fn shorten_stop(&self, grace: Duration) {
+    pub(crate) fn shorten_grace(&self, grace: Duration) {
         if let Some(mut stop) = self.planned_stop.get() {
             stop.shorten_grace(grace);
             self.planned_stop.set(Some(stop));
@@ -104,7 +106,7 @@
 
     /// Whether a request is taken, asked at its head and again when its body is whole: always, unless the
     /// process may end before its answer does.
-    pub(crate) fn may_take(&self, id: &str, route: &Route, limit: Time) -> bool {
+    pub(crate) fn may_admit(&self, id: &str, route: &Route, limit: Time) -> bool {
         let Some(stop) = self.planned_stop.get() else {
             return true;
         };
@@ -126,18 +128,19 @@
     }
 
     /// Counts a request that is taken after callers have looked away; returns whether this one is.
-    pub(crate) fn note_taken_as_last(&self) -> bool {
+    pub(crate) fn count_admission_after_deregistration(&self) -> bool {
         let now = self.now();
         let stop = self.planned_stop.get();
         let is_late = stop.is_some_and(|stop| now >= stop.deregistered_at());
         if is_late {
-            self.taken_as_last.set(self.taken_as_last.get() + 1);
+            self.admitted_after_deregistration
+                .set(self.admitted_after_deregistration.get() + 1);
         }
         is_late
     }
 
     /// Whether the answer to another attempt of a request that was taken has time to become whole.
-    pub(crate) fn has_time_for_another(&self, route: &Route, limit: Time) -> bool {
+    pub(crate) fn has_time_for_retry(&self, route: &Route, limit: Time) -> bool {
         let Some(stop) = self.planned_stop.get() else {
             return true;
         };
@@ -152,9 +155,9 @@
     }
 
     /// Waits until a request is answered at the latest: at its limit, or before the process ends.
-    pub(crate) async fn until_answer_due(&self, limit: Time) {
+    pub(crate) async fn until_response_due(&self, limit: Time) {
         tokio::select! {
-            () = self.until(limit) => {}
+            () = self.sleep_until(limit) => {}
             () = self.until_in_stop(PlannedStop::response_deadline) => {}
         }
     }
@@ -167,7 +170,7 @@
             let stop = self.planned_stop.get();
             let at = stop.as_ref().map_or(NEVER, moment);
             tokio::select! {
-                () = self.until(at) => return,
+                () = self.sleep_until(at) => return,
                 // An error means that the router is gone, and with it who waits.
                 _ = phase.changed() => {}
             }
@@ -181,7 +184,7 @@
     }
 
     /// Time until some router takes all requests again, as far as known.
-    pub(crate) fn until_next_serving(&self) -> Duration {
+    pub(crate) fn time_until_serving(&self) -> Duration {
         let peers = self.peers.borrow();
         if peers.any_serving() {
             return RETRY_AFTER;
@@ -228,7 +231,7 @@
     }
 
     /// Forgets routes without requests of late.
-    pub(crate) fn forget_run_times(&self, now: Time) {
+    pub(crate) fn remove_idle_run_times(&self, now: Time) {
         let mut run_times = self.run_times.borrow_mut();
         run_times.retain(|_, times| !times.is_idle(now));
     }
--- a/crates/stacktack-direct/src/suspension.rs
+++ b/crates/stacktack-direct/src/suspension.rs
@@ -18,7 +18,7 @@
 
 impl Router {
     /// Looks whether the machine was suspended since the last look.
-    pub fn look_for_suspension(&self) {
+    pub fn check_for_suspension(&self) {
         let reading = self.clock.read();
         let mut detector = self.suspension_detector.get();
         let suspended = detector.look(&reading);
@@ -34,32 +34,32 @@
             target: "process",
             "suspended_ms={} requests={} resting_connections_closed=true",
             suspended.as_millis(),
-            self.exchanges.get(),
+            self.requests_in_flight.get(),
         );
         self.metrics.record_suspension(suspended.as_secs_f64());
         // Their other ends may be gone, and nothing tells so before something is sent.
         self.connections.borrow_mut().clear();
         self.back_ends.borrow_mut().on_suspended(now);
-        self.unheard_since.set(Some(now));
+        self.no_contact_since.set(Some(now));
         self.suspensions.send_modify(|count| *count += 1);
     }
 
     /// The store or a peer was heard: what is believed is as new as what they tell.
-    pub(crate) fn note_heard(&self) {
-        if let Some(since) = self.unheard_since.take() {
+    pub(crate) fn on_contact(&self) {
+        if let Some(since) = self.no_contact_since.take() {
             let waited = self.now().since(since);
             log::info!(target: "process", "heard_again=true after_ms={}", waited.as_millis());
         }
     }
 
     /// Whether nobody was heard since a suspension.
-    pub fn awaits_news(&self) -> bool {
-        let since = self.unheard_since.get();
+    pub fn awaits_contact(&self) -> bool {
+        let since = self.no_contact_since.get();
         since.is_some_and(|since| self.now().since(since) < AWAIT_NEWS)
     }
 
     /// Waits until a time, at most for a moment longer where the machine is suspended before.
-    pub async fn until(&self, limit: Time) {
+    pub async fn sleep_until(&self, limit: Time) {
         let mut suspensions = self.suspensions.subscribe();
         loop {
             let left = limit.since(self.now());
@@ -75,16 +75,16 @@
     }
 
     /// What a future gives before a time; `None` if it does not end before.
-    pub async fn before<T>(&self, limit: Time, future: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(&self, limit: Time, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
             output = future => Some(output),
-            () = self.until(limit) => None,
+            () = self.sleep_until(limit) => None,
         }
     }
 
     /// Waits for the next suspension to be over.
-    pub(crate) async fn resumed(&self) {
+    pub(crate) async fn wait_for_resume(&self) {
         let mut suspensions = self.suspensions.subscribe();
         // An error means that the router is gone, and with it who waits.
         let _ = suspensions.changed().await;
--- a/crates/stacktack-direct/src/unread.rs
+++ b/crates/stacktack-direct/src/unread.rs
@@ -57,7 +57,7 @@
                 continue;
             };
             tokio::select! {
-                () = router.until(limit + SLACK) => return,
+                () = router.sleep_until(limit + SLACK) => return,
                 () = self.changed.notified() => {}
             }
         }
--- a/crates/stacktack-direct/src/zone_drains.rs
+++ b/crates/stacktack-direct/src/zone_drains.rs
@@ -7,15 +7,15 @@
 
 impl Router {
     /// Takes news of drains from the operator's store.
-    pub fn take_zone_drain_news(&self, news: &ZoneDrainUpdate) {
+    pub fn apply_zone_drain_update(&self, news: &ZoneDrainUpdate) {
         let ended = self.zone_drains.borrow().ended_drains(news);
         for change in news.changes.iter().chain(&ended) {
-            self.take_zone_drain(change, "store");
+            self.merge_zone_drain(change, "store");
         }
     }
 
     /// Takes what the operator asked for one zone, from a source with a fixed word.
-    pub fn take_zone_drain(&self, news: &ZoneDrain, source: &'static str) {
+    pub fn merge_zone_drain(&self, news: &ZoneDrain, source: &'static str) {
         if !self.zone_drains.borrow_mut().merge(news) {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     /// Whether all back ends of a pool are in zones that are drained.
-    pub fn is_drained(&self, pool: &[Requirement]) -> bool {
+    pub fn is_pool_drained(&self, pool: &[Requirement]) -> bool {
         let zone_drains = self.zone_drains.borrow();
         if zone_drains.drained_count() == 0 {
             return false;
--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -86,7 +86,7 @@
         drained: true,
         revision: 2,
     };
-    router.take_zone_drain(&drain, "store");
+    router.merge_zone_drain(&drain, "store");
     assert!(!router.may_send("a", life), "its zone is drained");
 }
 
--- a/crates/stacktack-direct/tests/configuration_in_force/main.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/main.rs
@@ -80,7 +80,7 @@
         let store = store.clone();
         async move {
             after(1000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.link.bytes_per_second.set(NARROW);
             store.set_reachable(false);
             after(300).await;
@@ -90,7 +90,7 @@
             after(7200).await;
             store.set_reachable(true);
             after(4000).await;
-            assert_eq!(router.version(), 41);
+            assert_eq!(router.configuration_version(), 41);
         }
     };
     follow(&store, None, script).await;
@@ -105,7 +105,7 @@
         store.confirm();
         let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
             after(latency + 1500).await;
-            assert_eq!(router.version(), 1, "at {latency} ms");
+            assert_eq!(router.configuration_version(), 1, "at {latency} ms");
         };
         follow(&store, None, script).await;
     }
@@ -123,7 +123,7 @@
         let store = store.clone();
         async move {
             after(3000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.link.bytes_per_second.set(NARROW);
             store.latency.set(latency);
             let watch = async {
@@ -152,7 +152,7 @@
     store.confirm();
     let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
         after(2500).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, None, script).await;
 }
@@ -166,7 +166,7 @@
     store.set_reachable(false);
     let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
         after(4000).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, Some(Peer::new(link)), script).await;
 }
@@ -177,7 +177,7 @@
     let store = Store::new(Link::new(NARROW), Duration::from_millis(1360));
     let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
         after(2500).await;
-        assert_eq!(router.directory_changed.get(), 1);
+        assert_eq!(router.received_directory_revision.get(), 1);
     };
     follow(&store, None, script).await;
 }
@@ -191,7 +191,7 @@
     store.unanswered.set(2);
     let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
         after(2500).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, None, script).await;
 }
@@ -216,7 +216,7 @@
             after(2000).await;
             store.confirm();
             after(2000).await;
-            assert_eq!(router.version(), 5);
+            assert_eq!(router.configuration_version(), 5);
         }
     };
     follow(&store, Some(Peer::new(link)), script).await;
@@ -233,14 +233,14 @@
         let (store, link) = (store.clone(), link.clone());
         async move {
             after(3000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.set_reachable(false);
             let before = link.carried.get();
             for _ in 0..8 {
                 store.confirm();
                 sleep(PACE).await;
             }
-            assert_eq!(router.version(), 9);
+            assert_eq!(router.configuration_version(), 9);
             let carried = link.carried.get() - before;
             assert!(carried < 20_000, "{carried} bytes");
         }
@@ -265,8 +265,12 @@
         };
         take_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
         after(800).await;
-        assert_eq!(router.version(), 0, "the document is still on its way");
-        assert_eq!(router.directory_changed.get(), 7);
+        assert_eq!(
+            router.configuration_version(),
+            0,
+            "the document is still on its way"
+        );
+        assert_eq!(router.received_directory_revision.get(), 7);
     };
     follow(&store, Some(peer), script).await;
 }
@@ -286,10 +290,13 @@
             store.unanswered.set(1);
             store.confirm();
             after(500).await;
-            assert_eq!((router.version(), store.unanswered.get()), (2, 0));
+            assert_eq!(
+                (router.configuration_version(), store.unanswered.get()),
+                (2, 0)
+            );
             store.confirm();
             after(6000).await;
-            assert_eq!(router.version(), 3);
+            assert_eq!(router.configuration_version(), 3);
         }
     };
     follow(&store, None, script).await;
--- a/crates/stacktack-direct/tests/configuration_in_force/world.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/world.rs
@@ -326,11 +326,15 @@
 async fn keep_peer(peer: Rc<Peer>, store: Rc<Store>, router: Rc<Router>) {
     loop {
         sleep(Duration::from_millis(100)).await;
-        while peer.router.version() < store.revision() {
-            let next = peer.router.version() + 1;
-            peer.router.adopt(Arc::new(configuration(next)));
+        while peer.router.configuration_version() < store.revision() {
+            let next = peer.router.configuration_version() + 1;
+            peer.router
+                .apply_configuration(Arc::new(configuration(next)));
         }
-        let (version, revision) = (peer.router.version(), peer.router.directory_revision());
+        let (version, revision) = (
+            peer.router.configuration_version(),
+            peer.router.directory_revision(),
+        );
         let news = steady_peer(SocketAddr::from(([127, 0, 0, 1], 10)), version, revision);
         router.peers.borrow_mut().receive(&news, router.now());
     }
@@ -366,7 +370,7 @@
     let end = Instant::now() + span;
     let mut longest = Duration::ZERO;
     while Instant::now() < end {
-        let first_missing = router.version() + 1;
+        let first_missing = router.configuration_version() + 1;
         if first_missing <= store.revision() {
             longest = longest.max(store.confirmed_at(first_missing).elapsed());
         }
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -323,7 +323,7 @@
     }
     let router = router();
     // Only who has a configuration leaves the store to its peers.
-    router.adopt(Arc::new(TrafficConfiguration {
+    router.apply_configuration(Arc::new(TrafficConfiguration {
         version: 1,
         ..TrafficConfiguration::default()
     }));
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -102,18 +102,18 @@
     let router = router();
     for _ in 0..5 {
         after(100).await;
-        router.note_running();
-        assert!(router.reads_in_time());
+        router.record_activity();
+        assert!(router.is_caught_up());
     }
     after(3000).await;
-    router.note_running();
+    router.record_activity();
     for _ in 0..4 {
-        assert!(!router.reads_in_time());
+        assert!(!router.is_caught_up());
         after(100).await;
-        router.note_running();
+        router.record_activity();
     }
     after(150).await;
-    assert!(router.reads_in_time());
+    assert!(router.is_caught_up());
 }
 
 /// A peer that answers nobody any more, and goes on to tell that it knows more.
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -91,7 +91,7 @@
     let mut settings = router.settings.clone();
     settings.bounds.exposure = bound;
     router.reload(&settings);
-    router.serve_rollouts().expect("the chart is complete");
+    router.enable_rollouts().expect("the chart is complete");
     for (id, version) in [("old", "v1"), ("new", "v2")] {
         let mut change = DirectoryChange::default();
         let mut back_ends = router.back_ends.borrow_mut();
@@ -107,7 +107,7 @@
 
 fn order(router: &Router, version: &str) {
     let order = RolloutOrder::new(SERVICE.into(), version.into(), 12.0, ORDERED);
-    router.take_rollout_orders(&RolloutOrderNews {
+    router.apply_rollout_orders(&RolloutOrderNews {
         orders: vec![order.expect("an order")],
         refused: Vec::new(),
     });
@@ -128,7 +128,7 @@
     let judged = router.clone();
     tokio::task::spawn_local(async move {
         loop {
-            judged.judge_rollouts();
+            judged.evaluate_rollouts();
             after(100).await;
         }
     });
@@ -271,7 +271,7 @@
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
-        router.take_rollout_orders(&RolloutOrderNews {
+        router.apply_rollout_orders(&RolloutOrderNews {
             orders: Vec::new(),
             refused: vec![RefusedOrder {
                 name: SERVICE.into(),
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -98,12 +98,15 @@
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
-    let (ended, ()) = tokio::join!(router.before(limit, std::future::pending::<()>()), async {
-        after(1000).await;
-        clock.suspend(EIGHT);
-        after(100).await;
-        router.look_for_suspension();
-    });
+    let (ended, ()) = tokio::join!(
+        router.timeout_at(limit, std::future::pending::<()>()),
+        async {
+            after(1000).await;
+            clock.suspend(EIGHT);
+            after(100).await;
+            router.check_for_suspension();
+        }
+    );
     assert_eq!(ended, None);
     assert_eq!(begun.elapsed(), Duration::from_millis(1100));
 }
@@ -113,10 +116,10 @@
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
-    let ((), ()) = tokio::join!(router.until(limit), async {
+    let ((), ()) = tokio::join!(router.sleep_until(limit), async {
         after(1000).await;
         clock.suspend(Duration::from_secs(2));
-        router.look_for_suspension();
+        router.check_for_suspension();
     });
     assert_eq!(begun.elapsed().as_secs(), 3);
 }
@@ -127,12 +130,12 @@
     let (clock, router) = world();
     for _ in 0..3 {
         clock.suspend(Duration::from_millis(20));
-        router.look_for_suspension();
+        router.check_for_suspension();
     }
-    assert!(!router.awaits_news());
+    assert!(!router.awaits_contact());
     clock.suspend(Duration::from_millis(60));
-    router.look_for_suspension();
-    assert!(router.awaits_news());
+    router.check_for_suspension();
+    assert!(router.awaits_contact());
 }
 
 /// The store is asked anew at once: the call that waits there may be on a dead connection.
@@ -152,11 +155,11 @@
         let calls = directory.calls.get();
         assert!(store.is_steady(router.now()));
         clock.suspend(EIGHT);
-        router.look_for_suspension();
-        assert!(router.awaits_news());
+        router.check_for_suspension();
+        assert!(router.awaits_contact());
         after(10).await;
         assert_eq!(directory.calls.get(), calls + 1);
-        assert!(!router.awaits_news(), "the store was heard");
+        assert!(!router.awaits_contact(), "the store was heard");
         assert!(!store.is_steady(router.now()), "entries may have lapsed");
         after(2500).await;
         assert!(store.is_steady(router.now()));
@@ -168,18 +171,18 @@
 async fn a_machine_that_is_never_suspended_awaits_nothing() {
     let router = router();
     after(60_000).await;
-    router.look_for_suspension();
-    assert!(!router.awaits_news());
+    router.check_for_suspension();
+    assert!(!router.awaits_contact());
 }
 
 #[tokio::test(start_paused = true)]
 async fn where_nobody_is_heard_what_was_believed_holds_after_a_second() {
     let (clock, router) = world();
     clock.suspend(EIGHT);
-    router.look_for_suspension();
-    assert!(router.awaits_news());
+    router.check_for_suspension();
+    assert!(router.awaits_contact());
     after(1000).await;
-    assert!(!router.awaits_news());
+    assert!(!router.awaits_contact());
 }
 
 /// That no byte came while nothing could be read here says nothing of a back end.
@@ -212,7 +215,7 @@
         },
     );
     clock.suspend(EIGHT);
-    router.look_for_suspension();
+    router.check_for_suspension();
     let silent = is_silent(&router);
     assert!(!silent);
     after(500).await;
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -234,18 +234,18 @@
         operator.drain("b", true);
         after(SOON).await;
         assert_eq!(open(&router), ["one"]);
-        assert!(!router.is_drained(&[]));
+        assert!(!router.is_pool_drained(&[]));
         operator.drain("a", true);
         after(SOON).await;
         assert!(open(&router).is_empty());
-        assert!(router.is_drained(&[]));
+        assert!(router.is_pool_drained(&[]));
         operator.drain("a", false);
         after(SOON).await;
         assert!(open(&router).is_empty(), "it may have turned cold");
-        router.update_cold();
+        router.update_slow_start();
         assert_eq!(open(&router), ["one"], "a first request may go there");
         after(3000).await;
-        router.update_cold();
+        router.update_slow_start();
         assert_eq!(open(&router), ["one"]);
         assert_eq!(operator.zone_reads.get(), 0, "all came with the feed");
     })
@@ -263,7 +263,7 @@
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
         () = after(SOON) => {}
     }
-    assert_eq!(router.version(), 1);
+    assert_eq!(router.configuration_version(), 1);
     assert!(router.zone_drains.borrow().is_drained("b"));
 }
 
@@ -296,7 +296,7 @@
         after(1000).await;
         operator.drain("b", true);
         operator.configure();
-        router.adopt(Arc::new(configuration(operator.configuration.get())));
+        router.apply_configuration(Arc::new(configuration(operator.configuration.get())));
         after(1000).await;
         assert!(!router.zone_drains.borrow().is_drained("b"));
         operator.set_down(false);
@@ -321,15 +321,15 @@
             revision: operator.revision.get(),
         };
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
-        let news = steady_peer(from, router.version(), 1);
+        let news = steady_peer(from, router.configuration_version(), 1);
         router.peers.borrow_mut().receive(&news, router.now());
-        router.take_zone_drain(&told, "peer");
+        router.merge_zone_drain(&told, "peer");
         assert_eq!(open(&router), ["one"]);
         operator.drain("b", false);
         operator.set_down(false);
         after(2500).await;
         assert!(!router.zone_drains.borrow().is_drained("b"));
-        router.take_zone_drain(&told, "peer");
+        router.merge_zone_drain(&told, "peer");
         assert!(!router.zone_drains.borrow().is_drained("b"), "late news");
     })
     .await;
@@ -342,7 +342,7 @@
         operator.drain("elsewhere", true);
         after(SOON).await;
         assert_eq!(open(&router), ["one", "two"]);
-        assert!(!router.is_drained(&[]));
+        assert!(!router.is_pool_drained(&[]));
     })
     .await;
 }
