--- a/crates/stacktack-direct/src/response_body.rs
+++ b/crates/stacktack-direct/src/response_body.rs
@@ -133,7 +133,7 @@
     ) -> Self {
         let resumable = exchange.route.kind == RouteKind::ResumableStream;
         let (router, end) = (exchange.router.clone(), exchange.deadline);
-        let deadline = async move { router.until(end).await }.boxed_local();
+        let deadline = async move { router.sleep_until(end).await }.boxed_local();
         ResponseStream {
             source: Source::Sending {
                 exchange,
@@ -327,7 +327,7 @@
         {
             exchange.outcome = outcome;
             if matches!(outcome, Outcome::Answered(_)) {
-                exchange.note_good_run();
+                exchange.on_successful_run();
                 attempt.on_whole();
                 attempt.finish();
             }
