--- a/crates/stacktack-direct/src/app.rs
+++ b/crates/stacktack-direct/src/app.rs
@@ -18,12 +18,12 @@
     follow_configuration, follow_directory, follow_peers, follow_rollouts, follow_routers,
     follow_verdicts, follow_zone_drains, Dependency,
 };
-use crate::knowledge::{hand_over, HttpPeers};
+use crate::gossip;
 use crate::metrics::DirectMetrics;
-use crate::news;
+use crate::peer_updates::{serve_peer, HttpPeers};
 use crate::ports::{ConfigurationSource, Directory, Protocol, RolloutStore, VerdictStore};
 use crate::router::Router;
-use crate::server::{accept_callers, listen, serve_peers, serve_small};
+use crate::server::{accept_callers, listen, serve_by_address_and_path, serve_by_path};
 use crate::settings::{DirectSettings, SettingsSource};
 use crate::stopping::stop;
 
@@ -109,18 +109,22 @@
         ports.rollouts,
         store.clone(),
     ));
-    actix_rt::spawn(news::receive(router.clone(), socket.clone()));
+    actix_rt::spawn(gossip::receive(router.clone(), socket.clone()));
     actix_rt::spawn(follow_peers(router.clone(), Rc::new(HttpPeers)));
     actix_rt::spawn(follow_routers(router.clone(), Rc::new(HttpPeers)));
-    actix_rt::spawn(news::push(router.clone(), socket.clone(), store.clone()));
-    actix_rt::spawn(news::exchange(router.clone(), socket, store));
+    actix_rt::spawn(gossip::push_updates(
+        router.clone(),
+        socket.clone(),
+        store.clone(),
+    ));
+    actix_rt::spawn(gossip::run_rounds(router.clone(), socket, store));
     actix_rt::spawn({
         let router = router.clone();
-        serve_peers(knowledge, move |peer, path| hand_over(&router, peer, path))
+        serve_by_address_and_path(knowledge, move |peer, path| serve_peer(&router, peer, path))
     });
     actix_rt::spawn(accept_callers(router.clone(), callers));
     actix_rt::spawn(serve_readiness(router.clone(), readiness));
-    actix_rt::spawn(serve_small(figures, move |_| match metrics.render() {
+    actix_rt::spawn(serve_by_path(figures, move |_| match metrics.render() {
         Ok(text) => (StatusCode::OK, Bytes::from(text)),
         Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
     }));
@@ -132,7 +136,7 @@
 }
 
 async fn serve_readiness(router: Rc<Router>, listener: tokio::net::TcpListener) {
-    serve_small(listener, move |_| {
+    serve_by_path(listener, move |_| {
         let status = if router.is_ready() {
             StatusCode::OK
         } else {
--- a/crates/stacktack-direct/src/back_end_end.rs
+++ b/crates/stacktack-direct/src/back_end_end.rs
@@ -13,7 +13,7 @@
 use stacktack_core::time::Time;
 
 use crate::attempt::Attempt;
-use crate::client::{connect_kept, ConnectError};
+use crate::client::{connect_with_reset_check, ConnectError};
 use crate::exchange::Exchange;
 use crate::router::Router;
 
@@ -119,9 +119,9 @@
 async fn reach(address: SocketAddr) -> Result<(), ConnectError> {
     let mut reached = Ok(());
     for _ in 0..LOOK_TRIES {
-        let connected = connect_kept(address, LOOK_LIMIT, KEPT_FOR).await;
+        let connected = connect_with_reset_check(address, LOOK_LIMIT, KEPT_FOR).await;
         reached = connected.map(|_| ());
-        if !matches!(reached, Err(ConnectError::TurnedAway)) {
+        if !matches!(reached, Err(ConnectError::ClosedOnAccept)) {
             break;
         }
     }
--- a/crates/stacktack-direct/src/calls.rs
+++ b/crates/stacktack-direct/src/calls.rs
@@ -30,11 +30,11 @@
 #[derive(Debug)]
 pub struct EndedCall {
     /// Revision after which it asked; `None` for everything.
-    pub after: Option<u64>,
+    pub after_revision: Option<u64>,
     /// How far its answer came.
     pub transfer: Rc<Transfer>,
     /// Time for which it might wait there for news.
-    pub waits: Duration,
+    pub max_wait: Duration,
     due: Instant,
 }
 
@@ -49,7 +49,7 @@
     /// wait there; else since the answer came, and as long as answers are late.
     pub fn answer_age(&self, lateness: Duration) -> Duration {
         let since_call = self.transfer.elapsed();
-        if self.waits.is_zero() {
+        if self.max_wait.is_zero() {
             return since_call;
         }
         let since_answer = self.transfer.arriving_for() + lateness;
@@ -71,7 +71,7 @@
         /// How far its answer has come.
         transfer: Rc<Transfer>,
         /// Time for which it might wait there for news.
-        waits: Duration,
+        max_wait: Duration,
     },
     /// A late call was given up.
     GivenUp(EndedCall),
@@ -100,20 +100,20 @@
 }
 
 /// Calls of one kind that are under way, the newest last.
-pub struct Calls<'a, T> {
+pub struct HedgedCalls<'a, T> {
     under_way: Vec<Call<'a, T>>,
     next: Option<Instant>,
 }
 
-impl<'a, T> Calls<'a, T> {
+impl<'a, T> HedgedCalls<'a, T> {
     /// No call yet; the first one is due now.
     pub fn new() -> Self {
-        Calls::starting_after(Duration::ZERO)
+        HedgedCalls::starting_in(Duration::ZERO)
     }
 
     /// No call yet; the first one is due after a pause.
-    pub fn starting_after(pause: Duration) -> Self {
-        Calls {
+    pub fn starting_in(pause: Duration) -> Self {
+        HedgedCalls {
             under_way: Vec::new(),
             next: Some(Instant::now() + pause),
         }
@@ -125,24 +125,24 @@
     }
 
     /// The next call is due after a pause.
-    pub fn next_after(&mut self, pause: Duration) {
+    pub fn schedule(&mut self, pause: Duration) {
         self.next = Some(Instant::now() + pause);
     }
 
     /// A call was made that asks for news after a revision and may wait there for some.
     pub fn begin(
         &mut self,
-        after: Option<u64>,
-        wait: Duration,
+        after_revision: Option<u64>,
+        max_wait: Duration,
         transfer: Rc<Transfer>,
         answer: LocalBoxFuture<'a, Result<T, SourceError>>,
     ) {
-        let due = Instant::now() + wait;
+        let due = Instant::now() + max_wait;
         self.under_way.push(Call {
             ended: EndedCall {
-                after,
+                after_revision,
                 transfer,
-                waits: wait,
+                max_wait,
                 due,
             },
             answer,
@@ -152,7 +152,7 @@
     }
 
     /// Whether an answer is arriving.
-    pub fn is_any_arriving(&self) -> bool {
+    pub fn has_arriving_answer(&self) -> bool {
         let mut calls = self.under_way.iter();
         calls.any(|call| call.ended.transfer.bytes() > 0)
     }
@@ -160,33 +160,28 @@
     /// An answer was taken. What the calls under way would tell is known, and the next one is due
     /// after a pause, if there is to be one; but a look that `told_nothing` new leaves the read that
     /// waits alone.
-    pub fn after_answer(
-        &mut self,
-        answered: &EndedCall,
-        told_nothing: bool,
-        pause: Option<Duration>,
-    ) {
-        if answered.waits.is_zero() && told_nothing && self.is_any_waiting() {
+    pub fn on_answer(&mut self, answered: &EndedCall, told_nothing: bool, pause: Option<Duration>) {
+        if answered.max_wait.is_zero() && told_nothing && self.is_any_waiting() {
             return;
         }
         self.under_way.clear();
-        self.plan(pause);
+        self.reschedule(pause);
     }
 
     /// The next call is due after a pause, if there is to be one.
-    pub fn plan(&mut self, pause: Option<Duration>) {
+    pub fn reschedule(&mut self, pause: Option<Duration>) {
         self.next = pause.map(|pause| Instant::now() + pause);
     }
 
     /// Whether a call that is not late waits there for news.
     fn is_any_waiting(&self) -> bool {
         let mut calls = self.under_way.iter();
-        calls.any(|call| !call.late && !call.ended.waits.is_zero())
+        calls.any(|call| !call.late && !call.ended.max_wait.is_zero())
     }
 
     /// What happens next, when answers may be late by `patience`. Nothing is lost when
     /// this is dropped before it ends.
-    pub async fn event(&mut self, patience: Duration) -> CallEvent<T> {
+    pub async fn next_event(&mut self, patience: Duration) -> CallEvent<T> {
         loop {
             if self.next.is_some_and(|next| next <= Instant::now()) {
                 self.next = None;
@@ -246,7 +241,7 @@
             call.late = true;
             return Some(CallEvent::Late {
                 transfer: call.ended.transfer.clone(),
-                waits: call.ended.waits,
+                max_wait: call.ended.max_wait,
             });
         }
         let dead = |call: &Call<'_, T>| call.quiet_since() + GIVE_UP <= now;
@@ -265,7 +260,7 @@
     }
 }
 
-impl<T> Default for Calls<'_, T> {
+impl<T> Default for HedgedCalls<'_, T> {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/stacktack-direct/src/client.rs
+++ b/crates/stacktack-direct/src/client.rs
@@ -37,7 +37,7 @@
     Timeout,
     /// The connection came up and was closed before anything was written.
     #[error("the connection was turned away")]
-    TurnedAway,
+    ClosedOnAccept,
     /// The connection was refused or failed.
     #[error("connecting failed: {0}")]
     Io(#[from] std::io::Error),
@@ -61,7 +61,7 @@
     NotWritten,
     /// No answer came in time.
     #[error("no answer came in time")]
-    Silent,
+    TimedOut,
     /// The connection broke after something may have been written.
     #[error("the connection broke: {0}")]
     Broken(hyper::Error),
@@ -99,12 +99,12 @@
     /// Connects, and waits a moment for the other side to turn the connection
     /// away: an overloaded one accepts and resets at once. Nothing has been
     /// written then, so that this proves that nothing ran.
-    pub async fn open_accepted(
+    pub async fn open_with_reset_check(
         address: SocketAddr,
         limit: Duration,
         moment: Duration,
     ) -> Result<Self, ConnectError> {
-        Self::over(connect_kept(address, limit, moment).await?).await
+        Self::over(connect_with_reset_check(address, limit, moment).await?).await
     }
 
     async fn over(stream: TcpStream) -> Result<Self, ConnectError> {
@@ -148,14 +148,14 @@
 }
 
 /// Connects, and waits whether the other side keeps the connection for a moment.
-pub(crate) async fn connect_kept(
+pub(crate) async fn connect_with_reset_check(
     address: SocketAddr,
     limit: Duration,
     moment: Duration,
 ) -> Result<TcpStream, ConnectError> {
     let stream = connect(address, limit).await?;
     if timeout(moment, stream.readable()).await.is_ok() {
-        return Err(ConnectError::TurnedAway);
+        return Err(ConnectError::ClosedOnAccept);
     }
     Ok(stream)
 }
@@ -171,14 +171,14 @@
 impl From<SendError> for SourceError {
     fn from(error: SendError) -> Self {
         match error {
-            SendError::Silent => SourceError::Silent,
+            SendError::TimedOut => SourceError::Silent,
             SendError::NotWritten | SendError::Broken(_) => SourceError::Broken,
         }
     }
 }
 
 /// Sends a request and reads its whole answer; whoever calls bounds the time.
-pub async fn whole_answer(
+pub async fn send_and_collect(
     connection: &mut ClientConnection,
     request: Request<Full<Bytes>>,
     transfer: &Transfer,
--- a/crates/stacktack-direct/src/datagram.rs
+++ b/crates/stacktack-direct/src/datagram.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct Datagram {
     /// News of the sender.
-    pub news: PeerGossip,
+    pub gossip: PeerGossip,
     /// What it knows of requests that end back ends.
     pub records: Vec<RecordGossip>,
     /// How old what it knows is; nothing from a release that does not tell.
@@ -80,13 +80,13 @@
 
 /// Reads a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, postcard::Error> {
-    let (news, rest) = postcard::take_from_bytes::<PeerGossip>(bytes)?;
+    let (gossip, rest) = postcard::take_from_bytes::<PeerGossip>(bytes)?;
     let (records, rest) = later_part::<Vec<RecordGossip>>(rest)?;
     let (ages, rest) = later_part::<SourceAges>(rest)?;
     let (reads, rest) = later_part::<SourceReads>(rest)?;
     let (rollouts, _) = later_part::<Vec<RolloutGossip>>(rest)?;
     Ok(Datagram {
-        news,
+        gossip,
         records,
         ages,
         reads,
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -10,7 +10,7 @@
 use super::looks::{is_informed, wait_for_news, Looks};
 use super::pause::Pause;
 use super::start::{Start, StartProgress};
-use crate::calls::{CallEvent, Calls, EndedCall};
+use crate::calls::{CallEvent, EndedCall, HedgedCalls};
 use crate::freshness::SourceKnowledge;
 use crate::ports::{ConfigurationNews, ConfigurationSource, SourceError};
 use crate::router::Router;
@@ -44,20 +44,20 @@
         pause: Pause::new(),
         start: Start::now(&router),
     };
-    let mut calls = Calls::starting_after(follower.start.pause());
+    let mut calls = HedgedCalls::starting_in(follower.start.pause());
     loop {
         let patience = follower.patience();
         let watches = !calls.is_idle();
         // A lost store is tried again after pauses of its own.
         let tries_again = watches && store.is_lost();
-        let may_look = !tries_again && !calls.is_any_arriving();
+        let may_look = !tries_again && !calls.has_arriving_answer();
         let budget = router.configuration_budget();
         let known = &router.freshness.configuration;
         let look = follower
             .looks
             .due(&router, budget, store.lateness(), known, watches);
         let event = tokio::select! {
-            event = calls.event(patience) => event,
+            event = calls.next_event(patience) => event,
             cause = look, if may_look => {
                 follower.look(cause.as_str(), &mut calls);
                 continue;
@@ -68,32 +68,32 @@
             }
             () = router.resumed() => {
                 follower.on_silence(Instant::now());
-                calls.next_after(Duration::ZERO);
+                calls.schedule(Duration::ZERO);
                 continue;
             }
             () = store.returned(), if watches => {
                 // A call that waits may have been lost with the outage. One whose
                 // answer is arriving goes on: dropped, it would begin at its first byte.
-                if !calls.is_any_arriving() {
+                if !calls.has_arriving_answer() {
                     follower.on_silence(Instant::now());
-                    calls.next_after(Duration::ZERO);
+                    calls.schedule(Duration::ZERO);
                 }
                 continue;
             }
         };
         match event {
             CallEvent::Due if follower.start_progress().is_left_to_peers(&follower.looks) => {
-                calls.plan(follower.start_progress().more_time());
+                calls.reschedule(follower.start_progress().more_time());
             }
-            CallEvent::Due if !follower.goes_on() => calls.plan(None),
+            CallEvent::Due if !follower.goes_on() => calls.reschedule(None),
             CallEvent::Due => follower.ask(source.as_ref(), &mut calls),
             CallEvent::Answered(news, call) => {
                 let told_nothing = news.is_empty();
                 let pause = follower.on_answer(news, &call);
-                calls.after_answer(&call, told_nothing, pause);
+                calls.on_answer(&call, told_nothing, pause);
             }
-            CallEvent::Failed(error, call) => calls.plan(follower.on_failure(error, &call)),
-            CallEvent::Late { transfer, .. } => calls.plan(follower.on_late(&transfer)),
+            CallEvent::Failed(error, call) => calls.reschedule(follower.on_failure(error, &call)),
+            CallEvent::Late { transfer, .. } => calls.reschedule(follower.on_late(&transfer)),
             CallEvent::GivenUp(call) => report(&call, "given up"),
         }
     }
@@ -177,7 +177,7 @@
     }
 
     /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, ConfigurationNews>) {
+    fn look(&mut self, cause: &'static str, calls: &mut HedgedCalls<'_, ConfigurationNews>) {
         log::info!(
             target: "configuration",
             "look=true cause={} age_ms={} version={}",
@@ -186,7 +186,7 @@
             self.router.version(),
         );
         self.looks.ask(cause, &self.router);
-        calls.next_after(Duration::ZERO);
+        calls.schedule(Duration::ZERO);
     }
 
     /// Makes a call. It waits for news only if the last one was answered and it is no look:
@@ -194,7 +194,7 @@
     fn ask<'a>(
         &mut self,
         source: &'a dyn ConfigurationSource,
-        calls: &mut Calls<'a, ConfigurationNews>,
+        calls: &mut HedgedCalls<'a, ConfigurationNews>,
     ) {
         let after = self.read_after();
         self.drains_missed |= after > self.known().read_at();
@@ -288,7 +288,7 @@
     log::info!(
         target: "configuration",
         "read=store after={} bytes={} ms={} end=\"{end}\"",
-        call.after.unwrap_or(0),
+        call.after_revision.unwrap_or(0),
         call.transfer.bytes(),
         call.transfer.elapsed().as_millis(),
     );
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -13,7 +13,7 @@
 use super::looks::{is_informed, wait_for_news, Looks};
 use super::pause::Pause;
 use super::start::{Start, StartProgress};
-use crate::calls::{CallEvent, Calls, EndedCall};
+use crate::calls::{CallEvent, EndedCall, HedgedCalls};
 use crate::freshness::SourceKnowledge;
 use crate::ports::{Directory, DirectoryNews, SourceError};
 use crate::router::Router;
@@ -47,25 +47,25 @@
         looks: Looks::new(),
         pause: Pause::new(),
     };
-    let mut calls = Calls::starting_after(follower.start.pause());
+    let mut calls = HedgedCalls::starting_in(follower.start.pause());
     loop {
         match follower.event(&mut calls).await {
             CallEvent::Due if follower.start_progress().is_left_to_peers(&follower.looks) => {
-                calls.plan(follower.start_progress().more_time());
+                calls.reschedule(follower.start_progress().more_time());
             }
-            CallEvent::Due if !follower.goes_on() => calls.plan(None),
+            CallEvent::Due if !follower.goes_on() => calls.reschedule(None),
             CallEvent::Due => follower.ask(directory.as_ref(), &mut calls),
             CallEvent::Answered(news, call) => {
                 let told_nothing = news.delta.is_empty();
                 let pause = follower.on_answer(news, &call);
-                calls.after_answer(&call, told_nothing, pause);
+                calls.on_answer(&call, told_nothing, pause);
             }
-            CallEvent::Failed(error, _) => calls.plan(follower.on_failure(error)),
-            CallEvent::Late { waits, .. } if !waits.is_zero() => {
+            CallEvent::Failed(error, _) => calls.reschedule(follower.on_failure(error)),
+            CallEvent::Late { max_wait, .. } if !max_wait.is_zero() => {
                 // Its connection may be dead; whether the store answers, a new one shows.
                 follower.look("read_late", &mut calls);
             }
-            CallEvent::Late { .. } => calls.plan(follower.on_failure(SourceError::Silent)),
+            CallEvent::Late { .. } => calls.reschedule(follower.on_failure(SourceError::Silent)),
             CallEvent::GivenUp(call) => {
                 log::info!(target: "directory", "read=store ms={} end=\"given up\"", call.transfer.elapsed().as_millis());
             }
@@ -94,7 +94,7 @@
     }
 
     /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, DirectoryNews>) {
+    fn look(&mut self, cause: &'static str, calls: &mut HedgedCalls<'_, DirectoryNews>) {
         log::info!(
             target: "directory",
             "look=true cause={cause} age_ms={} revision={}",
@@ -102,7 +102,7 @@
             self.router.directory_changed.get(),
         );
         self.looks.ask(cause, &self.router);
-        calls.next_after(Duration::ZERO);
+        calls.schedule(Duration::ZERO);
     }
 
     /// What is known of the directory.
@@ -134,7 +134,11 @@
     }
 
     /// Makes a call.
-    fn ask<'a>(&mut self, directory: &'a dyn Directory, calls: &mut Calls<'a, DirectoryNews>) {
+    fn ask<'a>(
+        &mut self,
+        directory: &'a dyn Directory,
+        calls: &mut HedgedCalls<'a, DirectoryNews>,
+    ) {
         let wait = self.wait();
         let after = self.known().read_at();
         let wait_there = after.map_or(Duration::ZERO, |_| wait);
@@ -146,27 +150,30 @@
 
     /// Awaits what happens next to the calls, and meanwhile takes as gone what was
     /// held long enough.
-    async fn event(&mut self, calls: &mut Calls<'_, DirectoryNews>) -> CallEvent<DirectoryNews> {
+    async fn event(
+        &mut self,
+        calls: &mut HedgedCalls<'_, DirectoryNews>,
+    ) -> CallEvent<DirectoryNews> {
         let patience = self.store.patience(self.known().read_at().is_none());
         let budget = self.router.directory_budget();
         loop {
             let watches = !calls.is_idle();
             // A lost store is tried again after pauses of its own.
             let tries_again = watches && self.store.is_lost();
-            let may_look = !tries_again && !calls.is_any_arriving();
+            let may_look = !tries_again && !calls.has_arriving_answer();
             let lateness = self.store.lateness();
             let look = self
                 .looks
                 .due(&self.router, budget, lateness, self.known(), watches);
             tokio::select! {
-                event = calls.event(patience) => return event,
+                event = calls.next_event(patience) => return event,
                 cause = look, if may_look => self.look(cause.as_str(), calls),
                 () = self.router.directory_look.notified() => self.look("behind", calls),
                 () = self.router.resumed() => {
                     // What was missing may only have been unable to renew itself, and the call
                     // under way may wait on a connection that is gone.
                     self.store.on_failure(self.router.now(), SourceError::Suspended);
-                    calls.next_after(Duration::ZERO);
+                    calls.schedule(Duration::ZERO);
                 }
                 () = sleep(HELD_LOOK), if self.holds_any() => self.release_held(),
             }
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::directory::take_delta;
-use crate::knowledge::{Known, NewerConfiguration, PeerSource};
+use crate::peer_updates::{NewerConfiguration, PeerQuery, PeerSource};
 use crate::ports::SourceError;
 use crate::router::Router;
 use crate::transfer::{while_moving, Transfer};
@@ -148,10 +148,10 @@
     async fn fetch(&mut self, peer: SocketAddr) -> Result<(), SourceError> {
         let transfer = Transfer::begin();
         let known = match self.subject {
-            Subject::Configuration => Known::Configuration(self.router.version()),
-            Subject::Directory => Known::Directory(self.router.directory_revision()),
+            Subject::Configuration => PeerQuery::Configuration(self.router.version()),
+            Subject::Directory => PeerQuery::Directory(self.router.directory_revision()),
         };
-        let call = self.source.knowledge(peer, known, transfer.clone());
+        let call = self.source.fetch_update(peer, known, transfer.clone());
         let near = self.router.peers.borrow().is_in_own_zone(peer);
         let answer = while_moving(call, &transfer, PEER_PATIENCE).await;
         let (bytes, ms) = (transfer.bytes(), transfer.elapsed().as_millis());
@@ -208,7 +208,7 @@
         };
         let version = newer.version();
         let before = self.router.configuration.borrow().clone();
-        match newer.over(before.as_deref()) {
+        match newer.apply_to(before.as_deref()) {
             Some(configuration) => self.router.adopt(Arc::new(configuration)),
             None => log::info!(
                 target: "configuration",
--- a/crates/stacktack-direct/src/followers/routers.rs
+++ b/crates/stacktack-direct/src/followers/routers.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use tokio::time::sleep;
 
-use crate::knowledge::PeerSource;
+use crate::peer_updates::PeerSource;
 use crate::router::Router;
 use crate::transfer::{while_moving, Transfer};
 
--- a/crates/stacktack-direct/src/news.rs
+++ b/crates/stacktack-direct/src/gossip.rs
@@ -34,9 +34,9 @@
         match decode(&buffer[..length]) {
             Ok(datagram) => {
                 router.note_running();
-                take(&router, &datagram.news);
+                merge_gossip(&router, &datagram.gossip);
                 if router.reads_in_time() {
-                    router.take_ages(&datagram.news, &datagram.ages, &datagram.reads);
+                    router.take_ages(&datagram.gossip, &datagram.ages, &datagram.reads);
                 }
                 take_records(&router, &datagram.records);
                 router.take_rollout_news(&datagram.rollouts);
@@ -47,7 +47,7 @@
 }
 
 /// Takes what a peer tells of itself and of others.
-pub fn take(router: &Router, news: &PeerGossip) {
+pub fn merge_gossip(router: &Router, news: &PeerGossip) {
     let now = router.now();
     router.note_heard();
     let joined = router.peers.borrow_mut().receive(news, now);
@@ -103,7 +103,7 @@
 }
 
 /// Tells peers, and takes over what they told, for ever.
-pub async fn exchange(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
+pub async fn run_rounds(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
     tell(&router, &socket, &store).await;
     loop {
         let due = Instant::now() + INTERVAL;
@@ -119,7 +119,7 @@
 }
 
 /// Tells a few peers at once what is new here, for ever.
-pub async fn push(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
+pub async fn push_updates(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
     loop {
         let spread = tokio::select! {
             () = router.push_due.notified() => true,
--- a/crates/stacktack-direct/src/connection.rs
+++ b/crates/stacktack-direct/src/idle_connections.rs
@@ -26,11 +26,11 @@
 
 /// Resting connections by back-end address.
 #[derive(Default)]
-pub struct RestingConnections {
+pub struct IdleConnections {
     by_address: HashMap<SocketAddr, Vec<Resting>>,
 }
 
-impl RestingConnections {
+impl IdleConnections {
     /// Takes the connection that rested last and still looks sound.
     pub fn take(&mut self, address: SocketAddr, now: Instant) -> Option<ClientConnection> {
         let resting = self.by_address.get_mut(&address)?;
--- a/crates/stacktack-direct/src/lib.rs
+++ b/crates/stacktack-direct/src/lib.rs
@@ -8,14 +8,14 @@
 //!
 //! - [`ports`]: what an adapter supplies.
 //! - [`app`]: start and signals; `stopping`: the end after a stop signal.
-//! - `server`: callers' connections. `connection`: back-end connections.
+//! - `server`: callers' connections. `idle_connections`: back-end connections.
 //! - `admission`, `exchange`, `sending`, `candidates`, `choice`, `attempt`: one request from
 //!   head to end; `room`: whether its pool and the router take it; `silence`: whether an attempt
 //!   is left for another one; `back_end_end`: whether what broke an attempt was the end of its back
 //!   end; `quarantine`: requests that end back ends; [`rollouts`]: versions that are rolled out.
 //!   `held`, `respond`, `answer`, `unread`: answers on their way to callers.
-//! - [`followers`]: configuration and directory. `news`, [`datagram`]: what routers tell each
-//!   other; [`knowledge`]: what they hand to each other. [`calls`] and
+//! - [`followers`]: configuration and directory. `gossip`, [`datagram`]: what routers tell each
+//!   other; [`peer_updates`]: what they hand to each other. [`calls`] and
 //!   [`transfer`]: calls under way and how far their answers have come. [`router`]: state of the process; `counted`: counts of what is under way; `zone_drains`: zones that get nothing;
 //!   [`clock`], `suspension`: its time, and what a suspension of its machine changes.
 
@@ -29,17 +29,17 @@
 mod choice;
 pub mod client;
 pub mod clock;
-mod connection;
 mod counted;
 pub mod datagram;
 mod exchange;
 pub mod followers;
 mod freshness;
+pub mod gossip;
 mod held;
-pub mod knowledge;
+mod idle_connections;
 mod load_summary;
 pub mod metrics;
-pub mod news;
+pub mod peer_updates;
 pub mod ports;
 mod quarantine;
 mod respond;
--- a/crates/stacktack-direct/src/knowledge.rs
+++ b/crates/stacktack-direct/src/peer_updates.rs
@@ -15,7 +15,7 @@
 use stacktack_core::direct::traffic::configuration_changes::ConfigurationChanges;
 use stacktack_core::direct::traffic::route::{TrafficConfiguration, TrafficDocument};
 
-use crate::client::{whole_answer, ClientConnection};
+use crate::client::{send_and_collect, ClientConnection};
 use crate::ports::{LocalBoxFuture, SourceError};
 use crate::router::Router;
 use crate::transfer::Transfer;
@@ -40,16 +40,16 @@
 
 /// What a router hands to a peer that asks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct PeerUpdate {
     /// A [`NewerConfiguration`] as JSON, if it is newer than the peer's.
     pub configuration: Option<Vec<u8>>,
     /// What changed in the directory since the peer's revision, if it was asked for.
     pub directory: Option<DirectoryDelta>,
 }
 
-/// [`Knowledge`] on the wire.
+/// [`PeerUpdate`] on the wire.
 #[derive(Debug, Serialize, Deserialize)]
-struct CompactKnowledge {
+struct CompactPeerUpdate {
     configuration: Option<Vec<u8>>,
     directory: Option<CompactDelta>,
 }
@@ -74,7 +74,7 @@
 
     /// The configuration itself, for a router that has `before`; `None` if the changes
     /// are from another version.
-    pub(crate) fn over(
+    pub(crate) fn apply_to(
         self,
         before: Option<&TrafficConfiguration>,
     ) -> Option<TrafficConfiguration> {
@@ -87,7 +87,7 @@
 
 /// What a router asks a peer for, by what it has itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum PeerQuery {
     /// The configuration beyond the version in force; 0 for none.
     Configuration(u64),
     /// The directory beyond the newest change that was heard.
@@ -96,31 +96,31 @@
     Routers,
 }
 
-impl Known {
+impl PeerQuery {
     /// Path and query that ask for more.
     pub fn path_and_query(self) -> String {
         format!("{PATH}?{}", self.query())
     }
 
     /// The same for a router of the release before.
-    pub fn full_path_and_query(self) -> String {
+    pub fn path_and_query_v3(self) -> String {
         format!("{FULL_PATH}?{}", self.query())
     }
 
     /// Whole documents of the kind that a router which starts asks for; `None` for one that asks for changes.
     fn hand_overs(self, router: &Router) -> Option<&RefCell<SnapshotTransfers>> {
         match self {
-            Known::Configuration(0) => Some(&router.configurations_handed),
-            Known::Directory(0) => Some(&router.directories_handed),
+            PeerQuery::Configuration(0) => Some(&router.configurations_handed),
+            PeerQuery::Directory(0) => Some(&router.directories_handed),
             _ => None,
         }
     }
 
     fn query(self) -> String {
         match self {
-            Known::Configuration(version) => format!("{VERSION}={version}"),
-            Known::Directory(revision) => format!("{REVISION}={revision}"),
-            Known::Routers => format!("{ROUTERS}=0"),
+            PeerQuery::Configuration(version) => format!("{VERSION}={version}"),
+            PeerQuery::Directory(revision) => format!("{REVISION}={revision}"),
+            PeerQuery::Routers => format!("{ROUTERS}=0"),
         }
     }
 
@@ -128,31 +128,31 @@
         let (name, number) = query.split_once('=')?;
         let number = number.parse().ok()?;
         match name {
-            VERSION => Some(Known::Configuration(number)),
-            REVISION => Some(Known::Directory(number)),
-            ROUTERS => Some(Known::Routers),
+            VERSION => Some(PeerQuery::Configuration(number)),
+            REVISION => Some(PeerQuery::Directory(number)),
+            ROUTERS => Some(PeerQuery::Routers),
             _ => None,
         }
     }
 }
 
-impl Knowledge {
+impl PeerUpdate {
     /// Reads a peer's answer.
-    pub fn read(body: &[u8]) -> Result<Self, SourceError> {
-        let compact: CompactKnowledge =
+    pub fn decode(body: &[u8]) -> Result<Self, SourceError> {
+        let compact: CompactPeerUpdate =
             postcard::from_bytes(body).map_err(|_| SourceError::Malformed)?;
         let directory = compact.directory.map(CompactDelta::into_delta);
         if directory == Some(None) {
             return Err(SourceError::Malformed);
         }
-        Ok(Knowledge {
+        Ok(PeerUpdate {
             configuration: compact.configuration,
             directory: directory.flatten(),
         })
     }
 
     /// Reads the answer of a router of the release before.
-    pub fn read_full(body: &[u8]) -> Result<Self, SourceError> {
+    pub fn decode_v3(body: &[u8]) -> Result<Self, SourceError> {
         postcard::from_bytes(body).map_err(|_| SourceError::Malformed)
     }
 }
@@ -161,12 +161,12 @@
 pub trait PeerSource {
     /// What a peer knows beyond `known`; notes in `transfer` what arrives. Whoever
     /// calls bounds the time by dropping the call.
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>>;
 
     /// All routers that a peer has heard lately. A peer of an earlier release tells none.
     fn routers(
@@ -182,19 +182,19 @@
 pub struct HttpPeers;
 
 impl PeerSource for HttpPeers {
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         Box::pin(async move {
             match ask(peer, &known.path_and_query(), &transfer).await {
                 Err(SourceError::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => {
-                    let body = ask(peer, &known.full_path_and_query(), &transfer).await?;
-                    Knowledge::read_full(&body)
+                    let body = ask(peer, &known.path_and_query_v3(), &transfer).await?;
+                    PeerUpdate::decode_v3(&body)
                 }
-                answer => Knowledge::read(&answer?),
+                answer => PeerUpdate::decode(&answer?),
             }
         })
     }
@@ -206,8 +206,8 @@
     ) -> LocalBoxFuture<'_, Result<Vec<SocketAddr>, SourceError>> {
         Box::pin(async move {
             // Of one layout in both releases.
-            let path_and_query = Known::Routers.full_path_and_query();
-            read_routers(&ask(peer, &path_and_query, &transfer).await?)
+            let path_and_query = PeerQuery::Routers.path_and_query_v3();
+            decode_routers(&ask(peer, &path_and_query, &transfer).await?)
         })
     }
 }
@@ -226,7 +226,7 @@
     let host = hyper::header::HeaderValue::from_str(&peer.to_string());
     let host = host.map_err(|_| SourceError::Malformed)?;
     request.headers_mut().insert(hyper::header::HOST, host);
-    let answer = whole_answer(&mut connection, request, transfer).await?;
+    let answer = send_and_collect(&mut connection, request, transfer).await?;
     match answer.status() {
         StatusCode::OK => Ok(answer.into_body()),
         StatusCode::SERVICE_UNAVAILABLE => Err(SourceError::NoRoom),
@@ -235,7 +235,7 @@
 }
 
 /// Reads a list of routers; one that is longer than any fleet is none.
-pub fn read_routers(body: &[u8]) -> Result<Vec<SocketAddr>, SourceError> {
+pub fn decode_routers(body: &[u8]) -> Result<Vec<SocketAddr>, SourceError> {
     let routers: Vec<SocketAddr> =
         postcard::from_bytes(body).map_err(|_| SourceError::Malformed)?;
     if routers.len() > MOST_ROUTERS {
@@ -245,42 +245,42 @@
 }
 
 /// Answers a peer with what it lacks; the query says what it has
-/// ([`Known::path_and_query`]).
-pub fn answer_peer(router: &Router, path_and_query: &str) -> (StatusCode, Bytes) {
+/// ([`PeerQuery::path_and_query`]).
+pub fn respond_to_peer(router: &Router, path_and_query: &str) -> (StatusCode, Bytes) {
     let asked = path_and_query.split_once('?');
     let asked = asked.filter(|(path, _)| [PATH, FULL_PATH].contains(path));
-    let Some((path, known)) = asked.and_then(|(path, query)| Some((path, Known::read(query)?)))
+    let Some((path, known)) = asked.and_then(|(path, query)| Some((path, PeerQuery::read(query)?)))
     else {
         return (StatusCode::NOT_FOUND, Bytes::new());
     };
     let knowledge = match known {
-        Known::Configuration(version) => Knowledge {
+        PeerQuery::Configuration(version) => PeerUpdate {
             configuration: newer_configuration(router, version),
             directory: None,
         },
-        Known::Directory(revision) => Knowledge {
+        PeerQuery::Directory(revision) => PeerUpdate {
             configuration: None,
             directory: Some(changed_directory(router, revision)),
         },
-        Known::Routers => return written(&router.peers.borrow().live_routers()),
+        PeerQuery::Routers => return written(&router.peers.borrow().live_routers()),
     };
     if path == FULL_PATH {
         return written(&knowledge);
     }
-    written(&CompactKnowledge {
+    written(&CompactPeerUpdate {
         configuration: knowledge.configuration,
         directory: knowledge.directory.map(CompactDelta::from),
     })
 }
 
 /// A whole document on its way to a peer that starts; over when it is dropped.
-pub struct HandOver {
+pub struct SnapshotTransferGuard {
     router: Rc<Router>,
-    known: Known,
+    known: PeerQuery,
     number: u64,
 }
 
-impl Drop for HandOver {
+impl Drop for SnapshotTransferGuard {
     fn drop(&mut self) {
         if let Some(handed) = self.known.hand_overs(&self.router) {
             handed.borrow_mut().end(self.number);
@@ -288,30 +288,30 @@
     }
 }
 
-/// Answers a peer at an address as [`answer_peer`] does; one that starts and finds no room is to ask
+/// Answers a peer at an address as [`respond_to_peer`] does; one that starts and finds no room is to ask
 /// another one. The answer is on its way for as long as the last part is kept.
-pub fn hand_over(
+pub fn serve_peer(
     router: &Rc<Router>,
     peer: IpAddr,
     path_and_query: &str,
-) -> (StatusCode, Bytes, Option<HandOver>) {
+) -> (StatusCode, Bytes, Option<SnapshotTransferGuard>) {
     let query = path_and_query.split_once('?').map(|(_, query)| query);
-    let known = query.and_then(Known::read);
+    let known = query.and_then(PeerQuery::read);
     let handed = known.and_then(|known| Some((known, known.hand_overs(router)?)));
     let Some((known, handed)) = handed else {
-        let (status, body) = answer_peer(router, path_and_query);
+        let (status, body) = respond_to_peer(router, path_and_query);
         return (status, body, None);
     };
     let far = router.peers.borrow().remote_zone_of(peer);
     let Some(number) = handed.borrow_mut().begin(far, router.now()) else {
         return (StatusCode::SERVICE_UNAVAILABLE, Bytes::new(), None);
     };
-    let under_way = HandOver {
+    let under_way = SnapshotTransferGuard {
         router: router.clone(),
         known,
         number,
     };
-    let (status, body) = answer_peer(router, path_and_query);
+    let (status, body) = respond_to_peer(router, path_and_query);
     handed.borrow_mut().set_snapshot_bytes(body.len());
     (status, body, Some(under_way))
 }
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -33,8 +33,8 @@
 
 use crate::back_end_end::Look;
 use crate::clock::{Clock, SuspensionDetector};
-use crate::connection::RestingConnections;
 use crate::freshness::KnownFreshness;
+use crate::idle_connections::IdleConnections;
 use crate::load_summary::LoadSummary;
 use crate::metrics::DirectMetrics;
 use crate::ports::Protocol;
@@ -86,7 +86,7 @@
     /// Orders to roll out versions that cannot be taken and were logged: revisions by name.
     pub(crate) refused_rollouts: RefCell<HashMap<String, u64>>,
     /// Resting connections to back ends.
-    pub connections: RefCell<RestingConnections>,
+    pub connections: RefCell<IdleConnections>,
     /// Where prompt parts were last read.
     pub places: RefCell<PrefixLocations>,
     /// Room of each pool.
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -174,7 +174,7 @@
                     }
                 }
                 Err(SendError::Broken(_)) => return Err(AttemptFailure::Broken),
-                Err(SendError::Silent) => return Err(AttemptFailure::TimedOut),
+                Err(SendError::TimedOut) => return Err(AttemptFailure::TimedOut),
             }
         }
     }
@@ -184,7 +184,7 @@
         if self.route.kind.is_idempotent() {
             ClientConnection::open(address, CONNECT_LIMIT).await
         } else {
-            ClientConnection::open_accepted(address, CONNECT_LIMIT, TURN_AWAY).await
+            ClientConnection::open_with_reset_check(address, CONNECT_LIMIT, TURN_AWAY).await
         }
     }
 
@@ -211,7 +211,7 @@
                 return ended;
             }
             if self.remaining().is_zero() || self.leaves_silent_attempt(progress) {
-                return Err(SendError::Silent);
+                return Err(SendError::TimedOut);
             }
         }
     }
--- a/crates/stacktack-direct/src/server.rs
+++ b/crates/stacktack-direct/src/server.rs
@@ -230,11 +230,11 @@
 }
 
 /// Serves small answers by path and query: readiness, metrics.
-pub async fn serve_small<F>(listener: TcpListener, answer: F)
+pub async fn serve_by_path<F>(listener: TcpListener, answer: F)
 where
     F: Fn(&str) -> (StatusCode, Bytes) + 'static,
 {
-    serve_peers(listener, move |_, path| {
+    serve_by_address_and_path(listener, move |_, path| {
         let (status, body) = answer(path);
         (status, body, ())
     })
@@ -243,7 +243,7 @@
 
 /// Serves answers by the caller's address and by path and query. The last part of an answer is kept
 /// for as long as the connection that it goes over.
-pub async fn serve_peers<F, G>(listener: TcpListener, answer: F)
+pub async fn serve_by_address_and_path<F, G>(listener: TcpListener, answer: F)
 where
     F: Fn(IpAddr, &str) -> (StatusCode, Bytes, G) + 'static,
     G: 'static,
--- a/crates/stacktack-direct/tests/calls.rs
+++ b/crates/stacktack-direct/tests/calls.rs
@@ -3,7 +3,7 @@
 use std::future::pending;
 use std::time::Duration;
 
-use stacktack_direct::calls::{CallEvent, Calls};
+use stacktack_direct::calls::{CallEvent, HedgedCalls};
 use stacktack_direct::ports::SourceError;
 use stacktack_direct::transfer::Transfer;
 use tokio::sync::oneshot;
@@ -16,13 +16,13 @@
     Duration::from_millis(milliseconds)
 }
 
-fn calls<'a>() -> Calls<'a, u32> {
-    Calls::new()
+fn calls<'a>() -> HedgedCalls<'a, u32> {
+    HedgedCalls::new()
 }
 
 /// The next event while the process stands still for a time, beginning so long from now.
 async fn event_beside_a_stall(
-    calls: &mut Calls<'_, u32>,
+    calls: &mut HedgedCalls<'_, u32>,
     begins_after: Duration,
     lasts: Duration,
 ) -> CallEvent<u32> {
@@ -32,7 +32,7 @@
         pending::<()>().await;
     };
     tokio::select! {
-        event = calls.event(PATIENCE) => event,
+        event = calls.next_event(PATIENCE) => event,
         () = stall => unreachable!("goes on"),
     }
 }
@@ -45,7 +45,7 @@
         for lasts in [300, 1500, 4000] {
             let (answer, answered) = oneshot::channel();
             let mut calls = calls();
-            assert!(matches!(calls.event(PATIENCE).await, CallEvent::Due));
+            assert!(matches!(calls.next_event(PATIENCE).await, CallEvent::Due));
             let call = async { answered.await.map_err(|_| SourceError::Broken) };
             calls.begin(Some(1), Duration::ZERO, Transfer::begin(), Box::pin(call));
             let read = Instant::now() + ms(begins_after + lasts + 30);
@@ -68,11 +68,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_that_is_not_answered_is_late_after_the_patience() {
     let mut calls = calls();
-    assert!(matches!(calls.event(PATIENCE).await, CallEvent::Due));
+    assert!(matches!(calls.next_event(PATIENCE).await, CallEvent::Due));
     let begun = Instant::now();
     calls.begin(Some(1), ms(500), Transfer::begin(), Box::pin(pending()));
-    let event = calls.event(PATIENCE).await;
-    assert!(matches!(event, CallEvent::Late { waits, .. } if waits == ms(500)));
+    let event = calls.next_event(PATIENCE).await;
+    assert!(matches!(event, CallEvent::Late { max_wait, .. } if max_wait == ms(500)));
     assert_eq!(begun.elapsed(), ms(1700));
 }
 
@@ -81,7 +81,7 @@
 #[tokio::test(start_paused = true)]
 async fn newer_calls_do_not_hide_that_an_older_one_is_late() {
     let mut calls = calls();
-    assert!(matches!(calls.event(PATIENCE).await, CallEvent::Due));
+    assert!(matches!(calls.next_event(PATIENCE).await, CallEvent::Due));
     let begun = Instant::now();
     let late = loop {
         calls.begin(
@@ -90,8 +90,8 @@
             Transfer::begin(),
             Box::pin(pending()),
         );
-        calls.next_after(ms(400));
-        match calls.event(PATIENCE).await {
+        calls.schedule(ms(400));
+        match calls.next_event(PATIENCE).await {
             CallEvent::Due => {}
             event => break event,
         }
@@ -104,7 +104,7 @@
 #[tokio::test(start_paused = true)]
 async fn late_timers_do_not_hide_a_store_that_answers_nobody() {
     let mut calls = calls();
-    assert!(matches!(calls.event(PATIENCE).await, CallEvent::Due));
+    assert!(matches!(calls.next_event(PATIENCE).await, CallEvent::Due));
     let begun = Instant::now();
     calls.begin(
         Some(1),
@@ -119,7 +119,7 @@
         }
     };
     let event = tokio::select! {
-        event = calls.event(PATIENCE) => event,
+        event = calls.next_event(PATIENCE) => event,
         () = late_timers => unreachable!("goes on"),
     };
     assert!(matches!(event, CallEvent::Late { .. }));
--- a/crates/stacktack-direct/tests/configuration_in_force/world.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/world.rs
@@ -15,7 +15,7 @@
 use stacktack_direct::followers::{
     follow_configuration, follow_directory, follow_peers, Dependency,
 };
-use stacktack_direct::knowledge::{answer_peer, Knowledge, Known, PeerSource};
+use stacktack_direct::peer_updates::{respond_to_peer, PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{
     ConfigurationNews, ConfigurationSource, Directory, DirectoryNews, LocalBoxFuture,
     RolloutOrderNews, SourceError,
@@ -308,16 +308,16 @@
 }
 
 impl PeerSource for Peer {
-    fn knowledge(
+    fn fetch_update(
         &self,
         _: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         Box::pin(async move {
-            let (_, body) = answer_peer(&self.router, &known.path_and_query());
+            let (_, body) = respond_to_peer(&self.router, &known.path_and_query());
             self.link.carry(body.len(), &transfer).await;
-            Knowledge::read(&body)
+            PeerUpdate::decode(&body)
         })
     }
 }
--- a/crates/stacktack-direct/tests/datagrams.rs
+++ b/crates/stacktack-direct/tests/datagrams.rs
@@ -61,7 +61,7 @@
     let records = [record(1), record(2)];
     let bytes = encode(&news(), &records, &ages(), &reads()).expect("a datagram");
     let datagram = decode(&bytes).expect("valid");
-    assert_eq!(datagram.news, news());
+    assert_eq!(datagram.gossip, news());
     assert_eq!(datagram.records, records);
     assert_eq!(datagram.ages, ages());
     assert_eq!(datagram.reads, reads());
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -25,7 +25,7 @@
 
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
 use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
-use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
+use stacktack_direct::peer_updates::{PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -223,12 +223,12 @@
 const SILENT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1)), 9);
 
 impl PeerSource for OneSilentPeer {
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if peer == SILENT {
             return Box::pin(std::future::pending());
         }
--- a/crates/stacktack-direct/tests/followers/serving_peer.rs
+++ b/crates/stacktack-direct/tests/followers/serving_peer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use stacktack_direct::knowledge::{answer_peer, Knowledge, Known, PeerSource};
+use stacktack_direct::peer_updates::{respond_to_peer, PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -12,12 +12,12 @@
 pub struct ServingPeer(pub Rc<Router>);
 
 impl PeerSource for ServingPeer {
-    fn knowledge(
+    fn fetch_update(
         &self,
         _: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         told_by(&self.0, known)
     }
 }
@@ -25,8 +25,8 @@
 /// What a router hands over to one that knows so much.
 pub fn told_by(
     router: &Router,
-    known: Known,
-) -> LocalBoxFuture<'static, Result<Knowledge, SourceError>> {
-    let (_, body) = answer_peer(router, &known.path_and_query());
-    Box::pin(async move { Knowledge::read(&body) })
+    known: PeerQuery,
+) -> LocalBoxFuture<'static, Result<PeerUpdate, SourceError>> {
+    let (_, body) = respond_to_peer(router, &known.path_and_query());
+    Box::pin(async move { PeerUpdate::decode(&body) })
 }
--- a/crates/stacktack-direct/tests/followers/start_of_all.rs
+++ b/crates/stacktack-direct/tests/followers/start_of_all.rs
@@ -11,8 +11,8 @@
 use futures_util::FutureExt;
 use hyper::StatusCode;
 use stacktack_direct::followers::{follow_directory, follow_peers};
-use stacktack_direct::knowledge::{hand_over, Knowledge, Known, PeerSource};
-use stacktack_direct::news::take;
+use stacktack_direct::gossip::merge_gossip;
+use stacktack_direct::peer_updates::{serve_peer, PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -38,24 +38,24 @@
 struct HandingOver(Vec<Rc<Router>>);
 
 impl PeerSource for HandingOver {
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         let numbers = 0..self.0.len();
         let number = numbers.into_iter().find(|number| address(*number) == peer);
         let peer = self.0[number.expect("is a router")].clone();
         Box::pin(async move {
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
-            let (status, body, under_way) = hand_over(&peer, caller, &known.path_and_query());
+            let (status, body, under_way) = serve_peer(&peer, caller, &known.path_and_query());
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 return Err(SourceError::NoRoom);
             }
             sleep(COPY).await;
             drop(under_way);
-            Knowledge::read(&body)
+            PeerUpdate::decode(&body)
         })
     }
 }
@@ -66,7 +66,7 @@
         for (number, from) in routers.iter().enumerate() {
             let news = steady_peer(address(number), 0, from.directory_revision());
             for (_, to) in routers.iter().enumerate().filter(|(to, _)| *to != number) {
-                take(to, &news);
+                merge_gossip(to, &news);
             }
         }
         after(10).await;
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
-use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
+use stacktack_direct::peer_updates::{PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -120,12 +120,12 @@
 struct Mute(Rc<Router>, Rc<Cell<bool>>);
 
 impl PeerSource for Mute {
-    fn knowledge(
+    fn fetch_update(
         &self,
         _: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if self.1.get() {
             return Box::pin(std::future::pending());
         }
--- a/crates/stacktack-direct/tests/peer_layouts.rs
+++ b/crates/stacktack-direct/tests/peer_layouts.rs
@@ -15,7 +15,9 @@
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryDelta};
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
 use stacktack_direct::followers::take_delta;
-use stacktack_direct::knowledge::{answer_peer, hand_over, HttpPeers, Known, PeerSource};
+use stacktack_direct::peer_updates::{
+    respond_to_peer, serve_peer, HttpPeers, PeerQuery, PeerSource,
+};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 
@@ -63,7 +65,7 @@
 
 #[test]
 fn a_router_of_the_release_before_is_answered_in_its_layout() {
-    let (status, body) = answer_peer(&knowing(), &format!("{FULL}revision=0"));
+    let (status, body) = respond_to_peer(&knowing(), &format!("{FULL}revision=0"));
     assert_eq!(status, StatusCode::OK);
     let (_, told): (Option<Vec<u8>>, Option<DirectoryDelta>) =
         postcard::from_bytes(&body).expect("parses");
@@ -104,8 +106,10 @@
     let address = listener.local_addr().expect("address");
     let peer = thread::spawn(move || serve_as_before(&listener));
     let answer = actix_rt::System::new().block_on(async {
-        let known = Known::Directory(0);
-        HttpPeers.knowledge(address, known, Transfer::begin()).await
+        let known = PeerQuery::Directory(0);
+        HttpPeers
+            .fetch_update(address, known, Transfer::begin())
+            .await
     });
     let told = answer.expect("answered").directory.expect("told");
     assert_eq!((told.revision, told.whole), (9, true));
@@ -116,7 +120,7 @@
 
 #[test]
 fn a_layout_of_no_release_is_turned_away() {
-    let (status, _) = answer_peer(&router(), "/knowledge/2?revision=0");
+    let (status, _) = respond_to_peer(&router(), "/knowledge/2?revision=0");
     assert_eq!(status, StatusCode::NOT_FOUND);
 }
 
@@ -125,17 +129,17 @@
 fn one_that_starts_waits_for_room_and_others_do_not() {
     let router = knowing_many();
     let caller = "127.0.0.2".parse().expect("address");
-    let ask = |known: Known| hand_over(&router, caller, &known.path_and_query());
-    let begun: Vec<_> = (0..9).map(|_| ask(Known::Directory(0))).collect();
+    let ask = |known: PeerQuery| serve_peer(&router, caller, &known.path_and_query());
+    let begun: Vec<_> = (0..9).map(|_| ask(PeerQuery::Directory(0))).collect();
     let served = begun
         .iter()
         .filter(|(status, ..)| *status == StatusCode::OK);
     assert!((1..=4).contains(&served.count()));
-    let (status, ..) = ask(Known::Directory(8));
+    let (status, ..) = ask(PeerQuery::Directory(8));
     assert_eq!(status, StatusCode::OK);
-    let (status, ..) = ask(Known::Configuration(0));
+    let (status, ..) = ask(PeerQuery::Configuration(0));
     assert_eq!(status, StatusCode::OK);
     drop(begun);
-    let (status, ..) = ask(Known::Directory(0));
+    let (status, ..) = ask(PeerQuery::Directory(0));
     assert_eq!(status, StatusCode::OK);
 }
--- a/crates/stacktack-direct/tests/rollout_datagrams.rs
+++ b/crates/stacktack-direct/tests/rollout_datagrams.rs
@@ -65,7 +65,7 @@
     let rollouts = [rollout(1, 2)];
     let datagram = decode(&written(&rollouts)).expect("valid");
     assert_eq!(datagram.rollouts, rollouts);
-    assert_eq!(datagram.news, news());
+    assert_eq!(datagram.gossip, news());
 }
 
 #[test]
@@ -85,5 +85,5 @@
     let many: Vec<RolloutGossip> = (0..60).map(|_| rollout(1, 1)).collect();
     let datagram = decode(&written(&many)).expect("valid");
     assert!(!datagram.rollouts.is_empty());
-    assert_eq!(datagram.news, news());
+    assert_eq!(datagram.gossip, news());
 }
