--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -32,9 +32,9 @@
 use tokio::sync::{watch, Notify};
 
 use crate::clock::{Clock, SuspensionDetector};
-use crate::connection::RestingConnections;
 use crate::crash_detection::CrashProbe;
 use crate::freshness::KnownFreshness;
+use crate::idle_connections::IdleConnections;
 use crate::load_summary::LoadSummary;
 use crate::metrics::DirectMetrics;
 use crate::ports::Protocol;
@@ -86,7 +86,7 @@
     /// Orders to roll out versions that cannot be taken and were logged: revisions by name.
     pub(crate) refused_rollout_orders: RefCell<HashMap<String, u64>>,
     /// Resting connections to back ends.
-    pub connections: RefCell<RestingConnections>,
+    pub connections: RefCell<IdleConnections>,
     /// Where prompt parts were last read.
     pub prefix_locations: RefCell<PrefixLocations>,
     /// Room of each pool.
