--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -70,7 +70,7 @@
         .map_err(|()| refused(RefusalKind::UnknownKey))?;
     let id_text = id.clone().ok_or_else(|| refused(RefusalKind::Malformed))?;
     let patience = caller
-        .patience
+        .timeout
         .map_or(route.timeout, |time| time.min(route.timeout));
     let limit = started + patience;
     if !router.may_take(&id_text, &route, limit) {
--- a/crates/stacktack-direct/src/app.rs
+++ b/crates/stacktack-direct/src/app.rs
@@ -15,8 +15,8 @@
 
 use crate::clock::SystemClock;
 use crate::followers::{
-    follow_configuration, follow_directory, follow_peers, follow_rollouts, follow_routers,
-    follow_verdicts, follow_zone_drains, Dependency,
+    discover_routers, fetch_from_peers, follow_configuration, follow_directory,
+    read_missed_zone_drains, sync_verdicts, write_rollout_statuses, StoreMonitor,
 };
 use crate::knowledge::{hand_over, HttpPeers};
 use crate::metrics::DirectMetrics;
@@ -83,13 +83,13 @@
         Rc::new(SystemClock),
     ));
     router.serve_rollouts()?;
-    let store = Rc::new(Dependency::new("store")?);
+    let store = Rc::new(StoreMonitor::new("store")?);
     actix_rt::spawn(follow_configuration(
         router.clone(),
         ports.configuration.clone(),
         store.clone(),
     ));
-    actix_rt::spawn(follow_zone_drains(
+    actix_rt::spawn(read_missed_zone_drains(
         router.clone(),
         ports.configuration,
         store.clone(),
@@ -99,19 +99,15 @@
         ports.directory,
         store.clone(),
     ));
-    actix_rt::spawn(follow_verdicts(
-        router.clone(),
-        ports.verdicts,
-        store.clone(),
-    ));
-    actix_rt::spawn(follow_rollouts(
+    actix_rt::spawn(sync_verdicts(router.clone(), ports.verdicts, store.clone()));
+    actix_rt::spawn(write_rollout_statuses(
         router.clone(),
         ports.rollouts,
         store.clone(),
     ));
     actix_rt::spawn(news::receive(router.clone(), socket.clone()));
-    actix_rt::spawn(follow_peers(router.clone(), Rc::new(HttpPeers)));
-    actix_rt::spawn(follow_routers(router.clone(), Rc::new(HttpPeers)));
+    actix_rt::spawn(fetch_from_peers(router.clone(), Rc::new(HttpPeers)));
+    actix_rt::spawn(discover_routers(router.clone(), Rc::new(HttpPeers)));
     actix_rt::spawn(news::push(router.clone(), socket.clone(), store.clone()));
     actix_rt::spawn(news::exchange(router.clone(), socket, store));
     actix_rt::spawn({
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -15,7 +15,7 @@
 use stacktack_core::direct::traffic::route::Route;
 
 use crate::client::ClientConnection;
-use crate::ports::BackEndAnswer;
+use crate::ports::BackEndResponseHead;
 use crate::rollouts::VersionWatch;
 use crate::router::Router;
 
@@ -125,8 +125,8 @@
     }
 
     /// The head of an answer came.
-    pub fn on_head(&mut self, told: &BackEndAnswer) {
-        self.rest_seconds = told.rest_seconds;
+    pub fn on_head(&mut self, told: &BackEndResponseHead) {
+        self.rest_seconds = told.keep_alive_seconds;
         let now = self.router.now();
         let after = self.written.elapsed();
         if let Some(version) = &self.version {
--- a/crates/stacktack-direct/src/calls.rs
+++ b/crates/stacktack-direct/src/calls.rs
@@ -88,7 +88,7 @@
 impl<T> Call<'_, T> {
     /// Since when the call shows nothing though it should.
     fn quiet_since(&self) -> Instant {
-        self.ended.due.max(self.ended.transfer.moved())
+        self.ended.due.max(self.ended.transfer.last_progress())
     }
 
     /// When to look at it again: once it is late by `patience`, and now and then before.
--- a/crates/stacktack-direct/src/client.rs
+++ b/crates/stacktack-direct/src/client.rs
@@ -171,7 +171,7 @@
 impl From<SendError> for SourceError {
     fn from(error: SendError) -> Self {
         match error {
-            SendError::Silent => SourceError::Silent,
+            SendError::Silent => SourceError::TimedOut,
             SendError::NotWritten | SendError::Broken(_) => SourceError::Broken,
         }
     }
--- a/crates/stacktack-direct/src/clock.rs
+++ b/crates/stacktack-direct/src/clock.rs
@@ -61,7 +61,7 @@
     }
 
     /// Time for which the machine was suspended since the last look, if it was.
-    pub(crate) fn look(&mut self, reading: &Reading) -> Option<Duration> {
+    pub(crate) fn detect(&mut self, reading: &Reading) -> Option<Duration> {
         let suspended = reading.suspended().saturating_sub(self.known);
         if suspended < LEAST_SUSPENSION {
             return None;
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -45,7 +45,7 @@
             Outcome::Open => "caller_left",
             Outcome::CutByStop => "cut_by_stop",
             Outcome::Answered(_) => "answered",
-            Outcome::Refused(kind) => kind.word(),
+            Outcome::Refused(kind) => kind.as_str(),
             Outcome::BrokenOff => "broken_off",
         }
     }
@@ -110,7 +110,7 @@
         if self.outcome == Outcome::Open && *self.router.phase.borrow() == Phase::Ended {
             self.outcome = Outcome::CutByStop;
         }
-        let ran = !matches!(self.outcome, Outcome::Refused(kind) if kind.promises_not_run());
+        let ran = !matches!(self.outcome, Outcome::Refused(kind) if kind.proves_not_run());
         self.router.end_run(&self.route.name, self.run, ran);
         let seconds = self.elapsed().as_secs_f64();
         self.router
@@ -133,7 +133,7 @@
             self.tried.join(","),
             self.ledger.sends,
             self.ledger.unreached,
-            self.caller.patience.map_or(0, |patience| patience.as_millis()),
+            self.caller.timeout.map_or(0, |patience| patience.as_millis()),
             self.returned,
             self.outcome.word(),
             status,
@@ -182,7 +182,7 @@
             Some(Err(Some(last))) => ExchangeEnd::FailedAnswer(last),
             Some(Err(None)) => ExchangeEnd::Refused(self.refusal_kind()),
             None if self.in_doubt || self.ledger.may_have_run => {
-                ExchangeEnd::Refused(RefusalKind::TimeOver)
+                ExchangeEnd::Refused(RefusalKind::DeadlineExceeded)
             }
             None if router.now() < limit => ExchangeEnd::Refused(RefusalKind::Stopping),
             None => ExchangeEnd::Refused(RefusalKind::NoBackEnd),
@@ -297,7 +297,7 @@
     /// Why nobody gave an answer.
     fn refusal_kind(&self) -> RefusalKind {
         if self.ledger.may_have_run && self.remaining().is_zero() {
-            RefusalKind::TimeOver
+            RefusalKind::DeadlineExceeded
         } else if self.ledger.may_have_run || self.in_doubt {
             RefusalKind::Lost
         } else if self.ends_too_soon {
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -6,13 +6,13 @@
 
 use tokio::time::Instant;
 
-use super::dependency::Dependency;
 use super::looks::{is_informed, wait_for_news, Looks};
 use super::pause::Pause;
 use super::start::{Start, StartProgress};
+use super::store_monitor::StoreMonitor;
 use crate::calls::{CallEvent, Calls, EndedCall};
 use crate::freshness::SourceKnowledge;
-use crate::ports::{ConfigurationNews, ConfigurationSource, SourceError};
+use crate::ports::{ConfigurationSource, ConfigurationUpdate, SourceError};
 use crate::router::Router;
 use crate::transfer::Transfer;
 
@@ -31,7 +31,7 @@
 pub async fn follow_configuration(
     router: Rc<Router>,
     source: Rc<dyn ConfigurationSource>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
 ) {
     let mut follower = ConfigurationFollower {
         router: router.clone(),
@@ -102,7 +102,7 @@
 /// Follows the configuration.
 struct ConfigurationFollower {
     router: Rc<Router>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
     /// Whether the store has forgotten what came after such revisions.
     history_gone: bool,
     /// Since when the store has not answered, if it should have.
@@ -177,7 +177,7 @@
     }
 
     /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, ConfigurationNews>) {
+    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, ConfigurationUpdate>) {
         log::info!(
             target: "configuration",
             "look=true cause={} age_ms={} version={}",
@@ -194,7 +194,7 @@
     fn ask<'a>(
         &mut self,
         source: &'a dyn ConfigurationSource,
-        calls: &mut Calls<'a, ConfigurationNews>,
+        calls: &mut Calls<'a, ConfigurationUpdate>,
     ) {
         let after = self.read_after();
         self.drains_missed |= after > self.known().read_at();
@@ -210,10 +210,12 @@
     }
 
     /// An answer came. Returns when to ask again, if this router goes on watching.
-    fn on_answer(&mut self, news: ConfigurationNews, call: &EndedCall) -> Option<Duration> {
+    fn on_answer(&mut self, news: ConfigurationUpdate, call: &EndedCall) -> Option<Duration> {
         let router = &self.router;
         let known = &router.freshness.configuration;
-        let goes_on = self.looks.on_answer(SOURCE, known, news.told_at, router);
+        let goes_on = self
+            .looks
+            .on_answer(SOURCE, known, news.answered_at_ms, router);
         self.pause.reset();
         self.store.on_lateness(call.lateness());
         self.router.note_heard();
@@ -228,8 +230,8 @@
             self.drains_missed = false;
             self.router.zone_drains_missed.notify_one();
         }
-        self.behind = news.versions > 1 && call.transfer.arriving_for() >= LONG_TRANSFER;
-        if news.versions > 0 {
+        self.behind = news.version_count > 1 && call.transfer.arriving_for() >= LONG_TRANSFER;
+        if news.version_count > 0 {
             report(call, "taken");
         }
         if news.invalid {
@@ -239,7 +241,7 @@
             self.router.adopt(Arc::new(configuration));
         }
         self.router
-            .note_configuration_age(call.answer_age(self.store.lateness()), news.told_at);
+            .record_configuration_age(call.answer_age(self.store.lateness()), news.answered_at_ms);
         goes_on.then_some(Duration::ZERO)
     }
 
@@ -274,7 +276,7 @@
             transfer.bytes(),
             transfer.elapsed().as_millis()
         );
-        self.on_silence(transfer.moved());
+        self.on_silence(transfer.last_progress());
         self.retry()
     }
 
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -9,13 +9,13 @@
 use stacktack_core::time::Time;
 use tokio::time::sleep;
 
-use super::dependency::Dependency;
 use super::looks::{is_informed, wait_for_news, Looks};
 use super::pause::Pause;
 use super::start::{Start, StartProgress};
+use super::store_monitor::StoreMonitor;
 use crate::calls::{CallEvent, Calls, EndedCall};
 use crate::freshness::SourceKnowledge;
-use crate::ports::{Directory, DirectoryNews, SourceError};
+use crate::ports::{Directory, DirectoryUpdate, SourceError};
 use crate::router::Router;
 use crate::transfer::Transfer;
 
@@ -38,7 +38,7 @@
 pub async fn follow_directory(
     router: Rc<Router>,
     directory: Rc<dyn Directory>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
 ) {
     let mut follower = DirectoryFollower {
         start: Start::now(&router),
@@ -65,7 +65,7 @@
                 // Its connection may be dead; whether the store answers, a new one shows.
                 follower.look("read_late", &mut calls);
             }
-            CallEvent::Late { .. } => calls.plan(follower.on_failure(SourceError::Silent)),
+            CallEvent::Late { .. } => calls.plan(follower.on_failure(SourceError::TimedOut)),
             CallEvent::GivenUp(call) => {
                 log::info!(target: "directory", "read=store ms={} end=\"given up\"", call.transfer.elapsed().as_millis());
             }
@@ -76,7 +76,7 @@
 /// Follows the directory.
 struct DirectoryFollower {
     router: Rc<Router>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
     looks: Looks,
     pause: Pause,
     start: Start,
@@ -94,7 +94,7 @@
     }
 
     /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, DirectoryNews>) {
+    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, DirectoryUpdate>) {
         log::info!(
             target: "directory",
             "look=true cause={cause} age_ms={} revision={}",
@@ -134,7 +134,7 @@
     }
 
     /// Makes a call.
-    fn ask<'a>(&mut self, directory: &'a dyn Directory, calls: &mut Calls<'a, DirectoryNews>) {
+    fn ask<'a>(&mut self, directory: &'a dyn Directory, calls: &mut Calls<'a, DirectoryUpdate>) {
         let wait = self.wait();
         let after = self.known().read_at();
         let wait_there = after.map_or(Duration::ZERO, |_| wait);
@@ -146,7 +146,10 @@
 
     /// Awaits what happens next to the calls, and meanwhile takes as gone what was
     /// held long enough.
-    async fn event(&mut self, calls: &mut Calls<'_, DirectoryNews>) -> CallEvent<DirectoryNews> {
+    async fn event(
+        &mut self,
+        calls: &mut Calls<'_, DirectoryUpdate>,
+    ) -> CallEvent<DirectoryUpdate> {
         let patience = self.store.patience(self.known().read_at().is_none());
         let budget = self.router.directory_budget();
         loop {
@@ -174,11 +177,13 @@
     }
 
     /// An answer came. Returns when to ask again, if this router goes on watching.
-    fn on_answer(&mut self, news: DirectoryNews, call: &EndedCall) -> Option<Duration> {
+    fn on_answer(&mut self, news: DirectoryUpdate, call: &EndedCall) -> Option<Duration> {
         let now = self.router.now();
         let router = &self.router;
         let known = &router.freshness.directory;
-        let goes_on = self.looks.on_answer(SOURCE, known, news.told_at, router);
+        let goes_on = self
+            .looks
+            .on_answer(SOURCE, known, news.answered_at_ms, router);
         let nothing_new = news.delta.is_empty();
         self.pause.reset();
         self.store.on_lateness(call.lateness());
@@ -187,7 +192,7 @@
         self.router.store_lost.set(false);
         self.known().note_read(news.revision);
         self.router
-            .note_directory_age(call.answer_age(self.store.lateness()), news.told_at);
+            .record_directory_age(call.answer_age(self.store.lateness()), news.answered_at_ms);
         self.take_news(news, now);
         if !goes_on {
             return None;
@@ -246,8 +251,8 @@
         report(&self.router, &change, self.router.directory_changed.get());
     }
 
-    fn take_news(&self, news: DirectoryNews, now: Time) {
-        for id in &news.invalid {
+    fn take_news(&self, news: DirectoryUpdate, now: Time) {
+        for id in &news.invalid_rows {
             log::warn!(target: "directory", "back_end={id} taken=false cause=invalid_row");
         }
         let evidence = if self.is_steady(now) {
@@ -255,13 +260,18 @@
         } else {
             RemovalEvidence::Insufficient
         };
-        take_delta(&self.router, news.delta, news.revision, evidence);
+        apply_delta(&self.router, news.delta, news.revision, evidence);
     }
 }
 
 /// Takes news of the directory, read as of a revision; without evidence that they are gone,
 /// entries that vanished are held.
-pub fn take_delta(router: &Router, delta: DirectoryDelta, read_at: u64, evidence: RemovalEvidence) {
+pub fn apply_delta(
+    router: &Router,
+    delta: DirectoryDelta,
+    read_at: u64,
+    evidence: RemovalEvidence,
+) {
     let now = router.now();
     let mut revision = delta.revision;
     let mut change = DirectoryChange::default();
--- a/crates/stacktack-direct/src/followers/mod.rs
+++ b/crates/stacktack-direct/src/followers/mod.rs
@@ -8,7 +8,6 @@
 //! roll-outs.
 
 mod configuration;
-mod dependency;
 mod directory;
 mod looks;
 mod pause;
@@ -16,14 +15,15 @@
 mod rollouts;
 mod routers;
 mod start;
+mod store_monitor;
 mod verdicts;
 mod zone_drains;
 
 pub use configuration::follow_configuration;
-pub use dependency::Dependency;
-pub use directory::{follow_directory, take_delta};
-pub use peers::follow_peers;
-pub use rollouts::follow_rollouts;
-pub use routers::follow_routers;
-pub use verdicts::follow_verdicts;
-pub use zone_drains::follow_zone_drains;
+pub use directory::{apply_delta, follow_directory};
+pub use peers::fetch_from_peers;
+pub use rollouts::write_rollout_statuses;
+pub use routers::discover_routers;
+pub use store_monitor::StoreMonitor;
+pub use verdicts::sync_verdicts;
+pub use zone_drains::read_missed_zone_drains;
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -10,11 +10,11 @@
 use stacktack_core::time::Time;
 use tokio::time::{sleep, timeout};
 
-use super::directory::take_delta;
+use super::directory::apply_delta;
 use crate::knowledge::{Known, NewerConfiguration, PeerSource};
 use crate::ports::SourceError;
 use crate::router::Router;
-use crate::transfer::{while_moving, Transfer};
+use crate::transfer::{with_idle_timeout, Transfer};
 
 /// Time between looks at whether a peer knows more, where none says so.
 const LOOK: Duration = Duration::from_millis(100);
@@ -26,7 +26,7 @@
 /// Learns from peers for ever what the store has not told. Configuration and directory
 /// are followed apart: a large document on a narrow link must not hold up the news that
 /// a back end leaves.
-pub async fn follow_peers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
+pub async fn fetch_from_peers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
     let follower = |subject| PeerFollower {
         router: router.clone(),
         source: source.clone(),
@@ -68,7 +68,7 @@
             }
             self.note_behind();
             while let Some(peer) = self.whom_to_ask() {
-                if self.fetch(peer).await != Err(SourceError::NoRoom) {
+                if self.fetch(peer).await != Err(SourceError::NoCapacity) {
                     break;
                 }
                 self.wait_for_room().await;
@@ -153,7 +153,7 @@
         };
         let call = self.source.knowledge(peer, known, transfer.clone());
         let near = self.router.peers.borrow().is_in_own_zone(peer);
-        let answer = while_moving(call, &transfer, PEER_PATIENCE).await;
+        let answer = with_idle_timeout(call, &transfer, PEER_PATIENCE).await;
         let (bytes, ms) = (transfer.bytes(), transfer.elapsed().as_millis());
         match answer {
             Ok(knowledge) => {
@@ -172,7 +172,7 @@
                     );
                     self.take_directory(delta);
                 }
-                self.router.take_claims();
+                self.router.apply_peer_claims();
                 Ok(())
             }
             Err(error) => {
@@ -188,7 +188,7 @@
 
     /// A peer told nothing.
     async fn pass_by(&mut self, peer: SocketAddr, error: SourceError) {
-        if error == SourceError::NoRoom {
+        if error == SourceError::NoCapacity {
             self.passed_by.push(peer);
             return;
         }
@@ -221,7 +221,7 @@
     fn take_directory(&self, delta: DirectoryDelta) {
         if delta.revision > self.router.directory_revision() {
             let revision = delta.revision;
-            take_delta(&self.router, delta, revision, RemovalEvidence::PeerDecided);
+            apply_delta(&self.router, delta, revision, RemovalEvidence::PeerDecided);
         }
     }
 }
--- a/crates/stacktack-direct/src/followers/rollouts.rs
+++ b/crates/stacktack-direct/src/followers/rollouts.rs
@@ -6,17 +6,17 @@
 use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use tokio::time::sleep;
 
-use super::dependency::Dependency;
 use super::pause::Pause;
+use super::store_monitor::StoreMonitor;
 use crate::ports::{RolloutStore, SourceError};
 use crate::router::Router;
-use crate::transfer::{while_moving, Transfer};
+use crate::transfer::{with_idle_timeout, Transfer};
 
 /// Writes what is due, for ever.
-pub async fn follow_rollouts(
+pub async fn write_rollout_statuses(
     router: Rc<Router>,
     source: Rc<dyn RolloutStore>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
 ) {
     let mut pause = Pause::new();
     loop {
@@ -41,13 +41,13 @@
 async fn write_status(
     router: &Router,
     source: &dyn RolloutStore,
-    store: &Dependency,
+    store: &StoreMonitor,
     write: &StatusWrite,
 ) -> Result<(), SourceError> {
     router.metrics.count_store_call("rollout", "write");
     let transfer = Transfer::begin();
     let call = source.write_status(write, transfer.clone());
-    let end = while_moving(call, &transfer, store.patience(false)).await?;
+    let end = with_idle_timeout(call, &transfer, store.patience(false)).await?;
     let (stored, revision) = match &end {
         StatusWriteResult::Stored(revision) => (true, *revision),
         StatusWriteResult::Conflict { status, .. } => {
--- a/crates/stacktack-direct/src/followers/routers.rs
+++ b/crates/stacktack-direct/src/followers/routers.rs
@@ -12,7 +12,7 @@
 
 use crate::knowledge::PeerSource;
 use crate::router::Router;
-use crate::transfer::{while_moving, Transfer};
+use crate::transfer::{with_idle_timeout, Transfer};
 
 /// Routers that are asked for one list, where they do not answer.
 const TRIES: usize = 3;
@@ -32,7 +32,7 @@
 const PATIENCE: Duration = Duration::from_millis(500);
 
 /// Learns of the other routers for ever.
-pub async fn follow_routers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
+pub async fn discover_routers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
     let later = std::iter::repeat(LATER_PAUSE);
     for pause in FIRST_PAUSES.into_iter().chain(later) {
         sleep(pause.mul_f64(rand::rng().random_range(0.5..=1.5))).await;
@@ -53,7 +53,7 @@
 async fn learn_from(router: &Router, source: &dyn PeerSource, peer: SocketAddr) -> bool {
     let transfer = Transfer::begin();
     let call = source.routers(peer, transfer.clone());
-    match while_moving(call, &transfer, PATIENCE).await {
+    match with_idle_timeout(call, &transfer, PATIENCE).await {
         Ok(routers) => {
             let (before, now) = {
                 let mut peers = router.peers.borrow_mut();
--- a/crates/stacktack-direct/src/followers/dependency.rs
+++ b/crates/stacktack-direct/src/followers/store_monitor.rs
@@ -12,17 +12,17 @@
 use crate::ports::SourceError;
 
 /// The store as its followers see it; tells when it comes back.
-pub struct Dependency {
+pub struct StoreMonitor {
     name: &'static str,
     source: RefCell<DirectorySource>,
     patience: Cell<AdaptiveTimeout>,
     returned: Notify,
 }
 
-impl Dependency {
+impl StoreMonitor {
     /// A dependency that is taken to answer.
     pub fn new(name: &'static str) -> Result<Self, ChartError> {
-        Ok(Dependency {
+        Ok(StoreMonitor {
             name,
             source: RefCell::new(DirectorySource::new()?),
             patience: Cell::default(),
--- a/crates/stacktack-direct/src/followers/verdicts.rs
+++ b/crates/stacktack-direct/src/followers/verdicts.rs
@@ -10,11 +10,11 @@
 use stacktack_core::time::Time;
 use tokio::time::sleep;
 
-use super::dependency::Dependency;
 use super::pause::Pause;
+use super::store_monitor::StoreMonitor;
 use crate::ports::{SourceError, VerdictStore};
 use crate::router::Router;
-use crate::transfer::{while_moving, Transfer};
+use crate::transfer::{with_idle_timeout, Transfer};
 
 /// Time between looks at whether something is to be written or read.
 const LOOK: Duration = Duration::from_millis(100);
@@ -33,10 +33,10 @@
 const LONGEST_READ_ALONE: Duration = Duration::from_secs(8);
 
 /// Writes and reads verdicts, for ever.
-pub async fn follow_verdicts(
+pub async fn sync_verdicts(
     router: Rc<Router>,
     source: Rc<dyn VerdictStore>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
 ) {
     let mut follower = VerdictFollower {
         router,
@@ -66,7 +66,7 @@
 struct VerdictFollower {
     router: Rc<Router>,
     source: Rc<dyn VerdictStore>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
     /// When to read again.
     read_due: Time,
     /// When the last read began.
@@ -113,7 +113,7 @@
         let call = self
             .source
             .change_verdicts(&stored, &dropped, transfer.clone());
-        while_moving(call, &transfer, self.store.patience(false)).await?;
+        with_idle_timeout(call, &transfer, self.store.patience(false)).await?;
         log::info!(
             target: "quarantine",
             "store=written verdicts={} dropped={} ms={}",
@@ -131,7 +131,7 @@
         self.router.metrics.count_store_call("verdicts", "read");
         let transfer = Transfer::begin();
         let call = self.source.verdicts(transfer.clone());
-        let verdicts = while_moving(call, &transfer, self.store.patience(false)).await?;
+        let verdicts = with_idle_timeout(call, &transfer, self.store.patience(false)).await?;
         let now = self.router.now();
         let mut quarantine = self.router.quarantine.borrow_mut();
         let changes: Vec<TreatmentChange> = quarantine.apply_stored(&verdicts, begun, now);
--- a/crates/stacktack-direct/src/followers/zone_drains.rs
+++ b/crates/stacktack-direct/src/followers/zone_drains.rs
@@ -7,17 +7,17 @@
 
 use tokio::time::sleep;
 
-use super::dependency::Dependency;
 use super::pause::Pause;
+use super::store_monitor::StoreMonitor;
 use crate::ports::ConfigurationSource;
 use crate::router::Router;
-use crate::transfer::{while_moving, Transfer};
+use crate::transfer::{with_idle_timeout, Transfer};
 
 /// Reads the drains of zones whenever some may have been missed, for ever.
-pub async fn follow_zone_drains(
+pub async fn read_missed_zone_drains(
     router: Rc<Router>,
     source: Rc<dyn ConfigurationSource>,
-    store: Rc<Dependency>,
+    store: Rc<StoreMonitor>,
 ) {
     let mut pause = Pause::new();
     loop {
@@ -33,11 +33,11 @@
 }
 
 /// Reads them once; returns whether the store answered.
-async fn read(router: &Router, source: &dyn ConfigurationSource, store: &Dependency) -> bool {
+async fn read(router: &Router, source: &dyn ConfigurationSource, store: &StoreMonitor) -> bool {
     router.metrics.count_store_call("zone_drains", "missed");
     let transfer = Transfer::begin();
     let call = source.zone_drains(transfer.clone());
-    match while_moving(call, &transfer, store.patience(false)).await {
+    match with_idle_timeout(call, &transfer, store.patience(false)).await {
         Ok(news) => {
             log::info!(
                 target: "zone_drain",
@@ -64,7 +64,7 @@
 async fn read_orders(
     router: &Router,
     source: &dyn ConfigurationSource,
-    store: &Dependency,
+    store: &StoreMonitor,
 ) -> bool {
     if router.bounds().exposure.is_none() {
         return true;
@@ -72,7 +72,7 @@
     router.metrics.count_store_call("rollout", "missed");
     let transfer = Transfer::begin();
     let call = source.rollout_orders(transfer.clone());
-    match while_moving(call, &transfer, store.patience(false)).await {
+    match with_idle_timeout(call, &transfer, store.patience(false)).await {
         Ok(news) => {
             router.take_rollout_orders(&news);
             true
--- a/crates/stacktack-direct/src/freshness.rs
+++ b/crates/stacktack-direct/src/freshness.rs
@@ -108,7 +108,7 @@
 
 /// How new what is known of each source is.
 #[derive(Debug, Default)]
-pub(crate) struct KnownFreshness {
+pub(crate) struct SourcesKnowledge {
     pub(crate) directory: SourceKnowledge,
     pub(crate) configuration: SourceKnowledge,
 }
@@ -116,7 +116,7 @@
 impl Router {
     /// What is known of the directory was all that it held so long ago, or later, as an answer made at
     /// `told_at` on the clock of its store showed.
-    pub(crate) fn note_directory_age(&self, age: Duration, told_at: u64) {
+    pub(crate) fn record_directory_age(&self, age: Duration, told_at: u64) {
         let now = self.now();
         let directory = &self.freshness.directory;
         if directory.note_own(age, told_at, &self.directory_budget(), now) {
@@ -126,7 +126,7 @@
 
     /// What is known of the configuration was all that there was so long ago, or later, as an answer made
     /// at `told_at` on the clock of its store showed.
-    pub(crate) fn note_configuration_age(&self, age: Duration, told_at: u64) {
+    pub(crate) fn record_configuration_age(&self, age: Duration, told_at: u64) {
         let now = self.now();
         let configuration = &self.freshness.configuration;
         if configuration.note_own(age, told_at, &self.configuration_budget(), now) {
@@ -160,16 +160,16 @@
 
     /// The time in which a departure has to be acted upon.
     pub(crate) fn directory_budget(&self) -> StalenessBudget {
-        StalenessBudget::new(self.bounds().leave)
+        StalenessBudget::new(self.bounds().drain_timeout)
     }
 
     /// The time in which a configuration has to be acted upon.
     pub(crate) fn configuration_budget(&self) -> StalenessBudget {
-        StalenessBudget::new(self.bounds().configuration)
+        StalenessBudget::new(self.bounds().config_apply)
     }
 
     /// Ages to tell peers.
-    pub fn told_ages(&self) -> SourceAges {
+    pub fn source_ages(&self) -> SourceAges {
         // While a departure is held, more than what is told as known has been heard.
         let decided = self.held_departures.borrow().is_empty();
         let directory = self.directory_age().filter(|_| decided);
@@ -180,7 +180,7 @@
     }
 
     /// The last answers of the store, to tell peers.
-    pub fn told_reads(&self) -> SourceReads {
+    pub fn source_reads(&self) -> SourceReads {
         let decided = self.held_departures.borrow().is_empty();
         let directory = decided.then(|| self.freshness.directory.read());
         SourceReads {
@@ -191,7 +191,7 @@
 
     /// Takes how new a peer's knowledge is, where this router knows the same: more than that
     /// has to be fetched first, and less says nothing.
-    pub fn take_ages(&self, news: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
+    pub fn apply_source_ages(&self, news: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
         let now = self.now();
         let as_of = |told: Option<EncodedAge>| told.map(|told| now - told.age());
         if self.held_departures.borrow().is_empty() {
@@ -228,7 +228,7 @@
     }
 
     /// Knowledge was fetched: what a peer told of it before holds now.
-    pub(crate) fn take_claims(&self) {
+    pub(crate) fn apply_peer_claims(&self) {
         if let Some(claim) = self.freshness.directory.claim.get() {
             self.take_directory_claim(claim);
         }
@@ -249,7 +249,7 @@
         let Some(age) = self.directory_age() else {
             return;
         };
-        if age >= self.bounds().leave {
+        if age >= self.bounds().drain_timeout {
             log::warn!(
                 target: "directory",
                 "stale=true age_ms={} revision={} held={} store_lost={}",
--- a/crates/stacktack-direct/src/knowledge.rs
+++ b/crates/stacktack-direct/src/knowledge.rs
@@ -229,7 +229,7 @@
     let answer = whole_answer(&mut connection, request, transfer).await?;
     match answer.status() {
         StatusCode::OK => Ok(answer.into_body()),
-        StatusCode::SERVICE_UNAVAILABLE => Err(SourceError::NoRoom),
+        StatusCode::SERVICE_UNAVAILABLE => Err(SourceError::NoCapacity),
         status => Err(SourceError::Refused(status.as_u16())),
     }
 }
--- a/crates/stacktack-direct/src/news.rs
+++ b/crates/stacktack-direct/src/news.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::datagram::{decode, encode_with_rollouts};
-use crate::followers::Dependency;
+use crate::followers::StoreMonitor;
 use crate::router::Router;
 
 /// Time between rounds of news.
@@ -36,7 +36,7 @@
                 router.note_running();
                 take(&router, &datagram.news);
                 if router.reads_in_time() {
-                    router.take_ages(&datagram.news, &datagram.ages, &datagram.reads);
+                    router.apply_source_ages(&datagram.news, &datagram.ages, &datagram.reads);
                 }
                 take_records(&router, &datagram.records);
                 router.take_rollout_news(&datagram.rollouts);
@@ -103,7 +103,7 @@
 }
 
 /// Tells peers, and takes over what they told, for ever.
-pub async fn exchange(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
+pub async fn exchange(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<StoreMonitor>) {
     tell(&router, &socket, &store).await;
     loop {
         let due = Instant::now() + INTERVAL;
@@ -119,7 +119,7 @@
 }
 
 /// Tells a few peers at once what is new here, for ever.
-pub async fn push(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
+pub async fn push(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<StoreMonitor>) {
     loop {
         let spread = tokio::select! {
             () = router.push_due.notified() => true,
@@ -135,7 +135,7 @@
     }
 }
 
-fn own_news(router: &Router, store: &Dependency) -> OwnGossip {
+fn own_news(router: &Router, store: &StoreMonitor) -> OwnGossip {
     let now = router.now();
     let all_loads = router.peers.borrow().has_short_round();
     OwnGossip {
@@ -154,15 +154,15 @@
     }
 }
 
-async fn tell(router: &Router, socket: &UdpSocket, store: &Dependency) {
+async fn tell(router: &Router, socket: &UdpSocket, store: &StoreMonitor) {
     let own = own_news(router, store);
     let outgoing = router.peers.borrow_mut().tick(&own, router.now());
     send(router, socket, outgoing).await;
 }
 
 async fn send(router: &Router, socket: &UdpSocket, outgoing: Vec<OutgoingDatagram>) {
-    let ages = router.told_ages();
-    let reads = router.told_reads();
+    let ages = router.source_ages();
+    let reads = router.source_reads();
     let records = router.quarantine.borrow_mut().gossip(router.now());
     for datagram in outgoing {
         let rollouts = router.told_rollouts();
--- a/crates/stacktack-direct/src/ports.rs
+++ b/crates/stacktack-direct/src/ports.rs
@@ -31,7 +31,7 @@
     /// Id of this attempt of the caller's.
     pub id: Option<String>,
     /// Time that the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
     pub key: Option<String>,
     /// The parts of the prompt.
@@ -42,7 +42,7 @@
 
 /// What a router tells a back end beside the caller's request.
 #[derive(Clone, Debug)]
-pub struct ForwardOrder<'a> {
+pub struct ForwardMetadata<'a> {
     /// Id of the life of the back end that is meant.
     pub instance: &'a str,
     /// Time that remains.
@@ -72,7 +72,7 @@
 
 /// What the head of a back end's answer says.
 #[derive(Clone, Debug, Default)]
-pub struct BackEndAnswer {
+pub struct BackEndResponseHead {
     /// Id of the request that it answers.
     pub id: Option<String>,
     /// The back end says that it did not run the request.
@@ -82,7 +82,7 @@
     /// Load, if told.
     pub load: Option<ReportedLoad>,
     /// Seconds that the connection may rest, if told.
-    pub rest_seconds: Option<u64>,
+    pub keep_alive_seconds: Option<u64>,
 }
 
 /// Why a router answers a request itself.
@@ -117,23 +117,23 @@
     /// It may have run and its answer is lost.
     Lost,
     /// The time that it had is over.
-    TimeOver,
+    DeadlineExceeded,
 }
 
 impl RefusalKind {
     /// Whether it is certain that the request did not run.
-    pub fn promises_not_run(self) -> bool {
-        !matches!(self, RefusalKind::Lost | RefusalKind::TimeOver)
+    pub fn proves_not_run(self) -> bool {
+        !matches!(self, RefusalKind::Lost | RefusalKind::DeadlineExceeded)
     }
 
     /// Whether it helps to come back: not where it is uncertain whether the request ran, nor
     /// where it is not going to.
-    pub fn may_come_back(self) -> bool {
-        self.promises_not_run() && self != RefusalKind::SetAside
+    pub fn caller_may_return(self) -> bool {
+        self.proves_not_run() && self != RefusalKind::SetAside
     }
 
     /// Fixed word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             RefusalKind::NoRoute => "no_route",
             RefusalKind::UnknownKey => "unknown_key",
@@ -149,7 +149,7 @@
             RefusalKind::OnProbation => "on_probation",
             RefusalKind::Rejected => "rejected",
             RefusalKind::Lost => "lost",
-            RefusalKind::TimeOver => "time_over",
+            RefusalKind::DeadlineExceeded => "time_over",
         }
     }
 }
@@ -169,16 +169,16 @@
     fn read_request(&self, head: &request::Parts) -> CallerRequest;
 
     /// Headers of the request as a back end gets it.
-    fn forward_headers(&self, caller: &HeaderMap, order: &ForwardOrder<'_>) -> HeaderMap;
+    fn forward_headers(&self, caller: &HeaderMap, order: &ForwardMetadata<'_>) -> HeaderMap;
 
     /// Reads the head of a back end's answer.
-    fn read_answer(&self, head: &response::Parts) -> BackEndAnswer;
+    fn read_response(&self, head: &response::Parts) -> BackEndResponseHead;
 
     /// Whether a status tells a caller that its request did not run and is not going to.
-    fn promises_not_run(&self, status: StatusCode) -> bool;
+    fn proves_not_run(&self, status: StatusCode) -> bool;
 
     /// Headers of a back end's answer as the caller gets it.
-    fn answer_headers(&self, back_end: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, back_end: &HeaderMap) -> HeaderMap;
 
     /// A router's own answer.
     fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> Response<Bytes>;
@@ -186,13 +186,13 @@
 
 /// News of the configuration.
 #[derive(Debug)]
-pub struct ConfigurationNews {
+pub struct ConfigurationUpdate {
     /// Revision up to which the news is complete.
     pub revision: u64,
     /// When the answer was made, in milliseconds on the clock of the source; 0 if it does not tell.
-    pub told_at: u64,
+    pub answered_at_ms: u64,
     /// Versions that the answer held.
-    pub versions: usize,
+    pub version_count: usize,
     /// The newest configuration, if there is news of it.
     pub configuration: Option<TrafficConfiguration>,
     /// Whether a configuration was there that is not valid.
@@ -200,28 +200,28 @@
     /// Zones whose drain the operator asked for or took back.
     pub zone_drains: ZoneDrainUpdate,
     /// Roll-outs that the operator ordered.
-    pub rollouts: RolloutOrderNews,
+    pub rollouts: RolloutOrderUpdate,
 }
 
-impl ConfigurationNews {
+impl ConfigurationUpdate {
     /// Whether it tells nothing: no version, and nothing of zones and roll-outs.
     pub fn is_empty(&self) -> bool {
         let zones = &self.zone_drains;
         let no_zones = zones.changes.is_empty() && zones.snapshot_revision.is_none();
-        self.versions == 0 && no_zones && self.rollouts.is_empty()
+        self.version_count == 0 && no_zones && self.rollouts.is_empty()
     }
 }
 
 /// News of roll-outs that the operator ordered.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutOrderNews {
+pub struct RolloutOrderUpdate {
     /// Orders.
     pub orders: Vec<RolloutOrder>,
     /// Orders that cannot be taken.
     pub refused: Vec<RefusedOrder>,
 }
 
-impl RolloutOrderNews {
+impl RolloutOrderUpdate {
     /// Whether it tells nothing.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty() && self.refused.is_empty()
@@ -241,15 +241,15 @@
 
 /// News of the directory.
 #[derive(Debug, Default)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// Revision of the source up to which the news is complete.
     pub revision: u64,
     /// When the answer was made, in milliseconds on the clock of the source; 0 if it does not tell.
-    pub told_at: u64,
+    pub answered_at_ms: u64,
     /// What changed; its revision is that of the newest change, 0 for none.
     pub delta: DirectoryDelta,
     /// Rows that do not parse; they are left out.
-    pub invalid: Vec<String>,
+    pub invalid_rows: Vec<String>,
 }
 
 /// Source of the configuration.
@@ -262,7 +262,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ConfigurationNews, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<ConfigurationUpdate, SourceError>>;
 
     /// All zones that are drained, without the configuration. Whoever calls bounds the
     /// time by dropping the call.
@@ -276,8 +276,8 @@
     fn rollout_orders(
         &self,
         _transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<RolloutOrderNews, SourceError>> {
-        Box::pin(async { Ok(RolloutOrderNews::default()) })
+    ) -> LocalBoxFuture<'_, Result<RolloutOrderUpdate, SourceError>> {
+        Box::pin(async { Ok(RolloutOrderUpdate::default()) })
     }
 }
 
@@ -321,5 +321,5 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>>;
 }
--- a/crates/stacktack-direct/src/respond.rs
+++ b/crates/stacktack-direct/src/respond.rs
@@ -51,7 +51,7 @@
 /// Whether a back end's status would promise a caller that a request that may run once only did
 /// not run, though the back end did not say so.
 fn promises_too_much(exchange: &Exchange, status: StatusCode) -> bool {
-    !exchange.route.kind.is_idempotent() && exchange.router.protocol.promises_not_run(status)
+    !exchange.route.kind.is_idempotent() && exchange.router.protocol.proves_not_run(status)
 }
 
 /// Says in the place of an answer that it is uncertain whether the request ran.
@@ -77,7 +77,7 @@
     exchange.router.metrics.record_first_byte(seconds);
     exchange.note_first_answer();
     let HeldAnswer { mut head, source } = answer;
-    head.headers = exchange.router.protocol.answer_headers(&head.headers);
+    head.headers = exchange.router.protocol.response_headers(&head.headers);
     let body = match source {
         AnswerSource::Whole(bytes) => {
             exchange.note_good_run();
@@ -103,7 +103,7 @@
 fn pass_failure_on(exchange: &mut Exchange, last: StoredAnswer) -> Response<AnswerBody> {
     exchange.outcome = Outcome::Answered(last.head.status.as_u16());
     let mut head = last.head;
-    head.headers = exchange.router.protocol.answer_headers(&head.headers);
+    head.headers = exchange.router.protocol.response_headers(&head.headers);
     Response::from_parts(head, AnswerBody::whole(last.body))
 }
 
@@ -116,7 +116,7 @@
         _ => RETRY_AFTER,
     };
     let come_back = exchange.come_back.unwrap_or(usual);
-    let retry_after = kind.may_come_back().then_some(come_back);
+    let retry_after = kind.caller_may_return().then_some(come_back);
     let refusal = Refusal { kind, retry_after };
     let response = exchange
         .router
@@ -136,9 +136,9 @@
         target: "request",
         "id={} config={version} outcome={}",
         id.unwrap_or("-"),
-        kind.word(),
+        kind.as_str(),
     );
-    router.metrics.count_request(kind.word(), 0.0);
+    router.metrics.count_request(kind.as_str(), 0.0);
     let retry_after = early_retry_after(router, kind);
     let refusal = Refusal { kind, retry_after };
     router.protocol.refuse(&refusal, id).map(AnswerBody::whole)
--- a/crates/stacktack-direct/src/rollouts.rs
+++ b/crates/stacktack-direct/src/rollouts.rs
@@ -16,7 +16,7 @@
 use stacktack_core::direct::rollout::{OrderOutcome, RolloutChange, Rollouts, VersionSelection};
 use stacktack_core::direct::traffic::route::Route;
 
-use crate::ports::{RefusedOrder, RolloutOrderNews};
+use crate::ports::{RefusedOrder, RolloutOrderUpdate};
 use crate::router::Router;
 
 /// Names of refused orders that are remembered, so that each is logged once.
@@ -32,7 +32,7 @@
     }
 
     /// Takes what the operator ordered.
-    pub fn take_rollout_orders(&self, news: &RolloutOrderNews) {
+    pub fn take_rollout_orders(&self, news: &RolloutOrderUpdate) {
         let now = self.now();
         for order in &news.orders {
             let mut rollouts = self.rollouts.borrow_mut();
--- a/crates/stacktack-direct/src/room.rs
+++ b/crates/stacktack-direct/src/room.rs
@@ -46,7 +46,7 @@
         repeated: bool,
         act: impl FnOnce(&mut PoolAdmission, &AdmissionRequest<'_>) -> T,
     ) -> T {
-        let patience = self.caller.patience.unwrap_or(self.route.timeout);
+        let patience = self.caller.timeout.unwrap_or(self.route.timeout);
         let request = AdmissionRequest {
             route: &self.route.name,
             tenant: self.tenant.as_ref().map(|tenant| tenant.name_hash()),
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -34,7 +34,7 @@
 use crate::back_end_end::Look;
 use crate::clock::{Clock, SuspensionDetector};
 use crate::connection::RestingConnections;
-use crate::freshness::KnownFreshness;
+use crate::freshness::SourcesKnowledge;
 use crate::load_summary::LoadSummary;
 use crate::metrics::DirectMetrics;
 use crate::ports::Protocol;
@@ -104,7 +104,7 @@
     /// Newest change of the directory that was heard.
     pub directory_changed: Cell<u64>,
     /// How new what is known of the sources is.
-    pub(crate) freshness: KnownFreshness,
+    pub(crate) freshness: SourcesKnowledge,
     /// Told when something is known here that others are to hear at once.
     pub(crate) push_due: Notify,
     /// Told when a router that starts is to be told what is known.
@@ -209,7 +209,7 @@
             directories_handed: RefCell::default(),
             configurations_handed: RefCell::default(),
             directory_changed: Cell::new(0),
-            freshness: KnownFreshness::default(),
+            freshness: SourcesKnowledge::default(),
             push_due: Notify::new(),
             newcomer_waits: Notify::new(),
             peer_knows_more: Notify::new(),
@@ -266,7 +266,7 @@
         self.shorten_stop(settings.bounds.grace);
         let mut pools = self.pools.borrow_mut();
         for pool in pools.values_mut() {
-            pool.budget.set_bound(settings.bounds.retries);
+            pool.budget.set_bound(settings.bounds.retry_budget);
         }
         let mut peers = self.peers.borrow_mut();
         peers.set_seeds(&settings.peers.seeds);
@@ -443,7 +443,7 @@
             .entry(pool_name(pool).to_owned())
             .or_insert_with(|| KnownPool {
                 back_ends: pool.to_vec(),
-                budget: PoolRetryBudget::new(self.bounds().retries, rand::rng().random()),
+                budget: PoolRetryBudget::new(self.bounds().retry_budget, rand::rng().random()),
             });
         act(&mut known.budget)
     }
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -17,7 +17,7 @@
 use crate::choice::Choice;
 use crate::client::{ClientConnection, ConnectError, SendError};
 use crate::exchange::Exchange;
-use crate::ports::ForwardOrder;
+use crate::ports::ForwardMetadata;
 use crate::router::pool_name;
 use crate::silence::AnswerProgress;
 
@@ -234,7 +234,7 @@
         fetch_from: Option<SocketAddr>,
     ) -> Request<Full<Bytes>> {
         let tenant = self.tenant.as_deref();
-        let order = ForwardOrder {
+        let order = ForwardMetadata {
             instance: &attempt.back_end,
             remaining: self.remaining(),
             tenant: tenant.map(|tenant| tenant.name.as_str()),
@@ -256,7 +256,7 @@
     /// What the head of an answer proves.
     async fn classify(&mut self, response: Response<Incoming>, mut attempt: Attempt) -> AttemptEnd {
         let (head, body) = response.into_parts();
-        let told = self.router.protocol.read_answer(&head);
+        let told = self.router.protocol.read_response(&head);
         attempt.on_head(&told);
         let own = told.id.as_deref() == Some(self.id.as_str());
         let missing = told.id.is_none() && !head.status.is_success();
--- a/crates/stacktack-direct/src/settings.rs
+++ b/crates/stacktack-direct/src/settings.rs
@@ -50,11 +50,11 @@
     /// Time between a stop signal and the end of the process at the latest.
     pub grace: Duration,
     /// Time after which a leaving back end must get no new work.
-    pub leave: Duration,
+    pub drain_timeout: Duration,
     /// Time after which a stored configuration must be in force.
-    pub configuration: Duration,
+    pub config_apply: Duration,
     /// The retry budget of the fleet.
-    pub retries: BudgetBound,
+    pub retry_budget: BudgetBound,
     /// Load of a back end over the mean that is never exceeded on purpose.
     pub load_cap: f64,
     /// What a version that is rolled out gets before it is proved; `None` where roll-outs are
--- a/crates/stacktack-direct/src/source_error.rs
+++ b/crates/stacktack-direct/src/source_error.rs
@@ -10,7 +10,7 @@
     Unreached,
     /// No answer came in time.
     #[error("no answer came in time")]
-    Silent,
+    TimedOut,
     /// The machine was suspended: what the source said before may be old.
     #[error("the machine was suspended")]
     Suspended,
@@ -22,7 +22,7 @@
     Refused(u16),
     /// Too many are told at the moment; others may have room.
     #[error("no room now")]
-    NoRoom,
+    NoCapacity,
     /// The history after the given revision is gone: read everything anew.
     #[error("the history is gone")]
     HistoryGone,
--- a/crates/stacktack-direct/src/suspension.rs
+++ b/crates/stacktack-direct/src/suspension.rs
@@ -21,7 +21,7 @@
     pub fn look_for_suspension(&self) {
         let reading = self.clock.read();
         let mut detector = self.suspension_detector.get();
-        let suspended = detector.look(&reading);
+        let suspended = detector.detect(&reading);
         self.suspension_detector.set(detector);
         if let Some(suspended) = suspended {
             self.on_suspended(suspended);
--- a/crates/stacktack-direct/src/transfer.rs
+++ b/crates/stacktack-direct/src/transfer.rs
@@ -62,7 +62,7 @@
     }
 
     /// When bytes arrived last; when the call was made, if none did.
-    pub fn moved(&self) -> Instant {
+    pub fn last_progress(&self) -> Instant {
         self.moved.get()
     }
 }
@@ -73,20 +73,20 @@
 /// A bound on the whole answer would drop a large one over a narrow link, and the next
 /// try would begin anew beside all else that waits for the link: of 464 kB 426 kB were
 /// thrown away again and again.
-pub async fn while_moving<T>(
+pub async fn with_idle_timeout<T>(
     call: impl Future<Output = Result<T, SourceError>>,
     transfer: &Transfer,
     patience: Duration,
 ) -> Result<T, SourceError> {
     let mut call = std::pin::pin!(call);
     loop {
-        let deadline = transfer.moved() + patience;
+        let deadline = transfer.last_progress() + patience;
         tokio::select! {
             biased;
             result = &mut call => return result,
             () = sleep_until(deadline) => {
-                if transfer.moved() + patience <= Instant::now() {
-                    return Err(SourceError::Silent);
+                if transfer.last_progress() + patience <= Instant::now() {
+                    return Err(SourceError::TimedOut);
                 }
             }
         }
--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -14,7 +14,7 @@
 use stacktack_core::direct::back_ends::zone_drain::ZoneDrain;
 use stacktack_core::direct::request::attempt::AttemptFailure;
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::take_delta;
+use stacktack_direct::followers::apply_delta;
 use stacktack_direct::router::Router;
 
 use common::{after, router};
@@ -41,7 +41,7 @@
         present,
         gone,
     };
-    take_delta(router, delta, revision, RemovalEvidence::StoreSteady);
+    apply_delta(router, delta, revision, RemovalEvidence::StoreSteady);
 }
 
 /// A router that has chosen a life of back end `a` a moment ago.
--- a/crates/stacktack-direct/tests/common/mod.rs
+++ b/crates/stacktack-direct/tests/common/mod.rs
@@ -10,7 +10,9 @@
 use stacktack_core::direct::request::budget::BudgetBound;
 use stacktack_direct::clock::{Clock, RuntimeClock};
 use stacktack_direct::metrics::DirectMetrics;
-use stacktack_direct::ports::{BackEndAnswer, CallerRequest, ForwardOrder, Protocol, Refusal};
+use stacktack_direct::ports::{
+    BackEndResponseHead, CallerRequest, ForwardMetadata, Protocol, Refusal,
+};
 use stacktack_direct::router::Router;
 use stacktack_direct::settings::{Bounds, DirectSettings, PeerSettings};
 use stacktack_node::metrics::Metrics;
@@ -27,19 +29,19 @@
         CallerRequest::default()
     }
 
-    fn forward_headers(&self, caller: &HeaderMap, _: &ForwardOrder<'_>) -> HeaderMap {
+    fn forward_headers(&self, caller: &HeaderMap, _: &ForwardMetadata<'_>) -> HeaderMap {
         caller.clone()
     }
 
-    fn read_answer(&self, _: &response::Parts) -> BackEndAnswer {
-        BackEndAnswer::default()
+    fn read_response(&self, _: &response::Parts) -> BackEndResponseHead {
+        BackEndResponseHead::default()
     }
 
-    fn promises_not_run(&self, _: StatusCode) -> bool {
+    fn proves_not_run(&self, _: StatusCode) -> bool {
         false
     }
 
-    fn answer_headers(&self, back_end: &HeaderMap) -> HeaderMap {
+    fn response_headers(&self, back_end: &HeaderMap) -> HeaderMap {
         back_end.clone()
     }
 
@@ -91,9 +93,9 @@
         },
         bounds: Bounds {
             grace: Duration::from_secs(8),
-            leave: Duration::from_secs(3),
-            configuration: Duration::from_secs(3),
-            retries: BudgetBound {
+            drain_timeout: Duration::from_secs(3),
+            config_apply: Duration::from_secs(3),
+            retry_budget: BudgetBound {
                 ratio: 0.2,
                 extra: 56.0,
                 window: Duration::from_secs(10),
--- a/crates/stacktack-direct/tests/configuration_in_force/main.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/main.rs
@@ -31,7 +31,7 @@
 
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::{take_delta, Dependency};
+use stacktack_direct::followers::{apply_delta, StoreMonitor};
 use stacktack_direct::router::Router;
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
         let link = Link::new(WIDE);
         let store = Store::new(link.clone(), Duration::from_millis(5));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
             let store = store.clone();
             async move {
                 after(3000).await;
@@ -76,7 +76,7 @@
 async fn what_was_missed_is_not_read_version_by_version() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(1000).await;
@@ -103,7 +103,7 @@
     for latency in [1360, 4000] {
         let store = Store::new(Link::new(NARROW), Duration::from_millis(latency));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
             after(latency + 1500).await;
             assert_eq!(router.version(), 1, "at {latency} ms");
         };
@@ -119,7 +119,7 @@
     let store = Store::new(Link::new(NARROW), Duration::from_millis(5));
     store.link.bytes_per_second.set(WIDE);
     store.confirm();
-    let script = |router: Rc<Router>, dependency: Rc<Dependency>| {
+    let script = |router: Rc<Router>, dependency: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(3000).await;
@@ -150,7 +150,7 @@
 async fn a_document_over_a_narrow_link_arrives_in_one_transfer() {
     let store = Store::new(Link::new(200_000.0), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
         assert_eq!(router.version(), 1);
     };
@@ -164,7 +164,7 @@
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
     store.set_reachable(false);
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(4000).await;
         assert_eq!(router.version(), 1);
     };
@@ -175,7 +175,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_tells_the_directory_at_a_start() {
     let store = Store::new(Link::new(NARROW), Duration::from_millis(1360));
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
         assert_eq!(router.directory_changed.get(), 1);
     };
@@ -189,7 +189,7 @@
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
     store.unanswered.set(2);
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
         assert_eq!(router.version(), 1);
     };
@@ -202,7 +202,7 @@
     let link = Link::new(WIDE);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(1000).await;
@@ -229,7 +229,7 @@
     let link = Link::new(NARROW);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let (store, link) = (store.clone(), link.clone());
         async move {
             after(3000).await;
@@ -257,13 +257,13 @@
     store.set_reachable(false);
     let peer = Peer::new(link);
     let known_at_peer = peer.router.clone();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(1500).await;
         let delta = DirectoryDelta {
             revision: 7,
             ..DirectoryDelta::default()
         };
-        take_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
+        apply_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
         after(800).await;
         assert_eq!(router.version(), 0, "the document is still on its way");
         assert_eq!(router.directory_changed.get(), 7);
@@ -279,7 +279,7 @@
 async fn a_call_that_is_never_answered_holds_news_up_for_seconds_only() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(500).await;
@@ -304,7 +304,7 @@
         let link = Link::new(WIDE);
         let store = Store::new(link, Duration::from_millis(5));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
             let store = store.clone();
             async move {
                 after(2000).await;
--- a/crates/stacktack-direct/tests/configuration_in_force/world.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/world.rs
@@ -13,12 +13,12 @@
     Route, RouteKind, RouteTable, Target, TrafficConfiguration,
 };
 use stacktack_direct::followers::{
-    follow_configuration, follow_directory, follow_peers, Dependency,
+    fetch_from_peers, follow_configuration, follow_directory, StoreMonitor,
 };
 use stacktack_direct::knowledge::{answer_peer, Knowledge, Known, PeerSource};
 use stacktack_direct::ports::{
-    ConfigurationNews, ConfigurationSource, Directory, DirectoryNews, LocalBoxFuture,
-    RolloutOrderNews, SourceError,
+    ConfigurationSource, ConfigurationUpdate, Directory, DirectoryUpdate, LocalBoxFuture,
+    RolloutOrderUpdate, SourceError,
 };
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -164,7 +164,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: &Transfer,
-    ) -> Result<ConfigurationNews, SourceError> {
+    ) -> Result<ConfigurationUpdate, SourceError> {
         if !self.reachable.get() {
             sleep(Duration::from_millis(6)).await;
             return Err(SourceError::Unreached);
@@ -189,14 +189,14 @@
         sleep(self.latency.get()).await;
         let bytes = documents as usize * DOCUMENT_BYTES;
         self.link.carry(bytes, transfer).await;
-        Ok(ConfigurationNews {
+        Ok(ConfigurationUpdate {
             revision,
-            told_at: self.clock(),
-            versions: documents as usize,
+            answered_at_ms: self.clock(),
+            version_count: documents as usize,
             configuration: (documents > 0).then(|| configuration(revision)),
             invalid: false,
             zone_drains: ZoneDrainUpdate::default(),
-            rollouts: RolloutOrderNews::default(),
+            rollouts: RolloutOrderUpdate::default(),
         })
     }
 }
@@ -207,7 +207,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ConfigurationNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<ConfigurationUpdate, SourceError>> {
         Box::pin(async move { self.read(after, wait, &transfer).await })
     }
 
@@ -230,7 +230,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         Box::pin(async move {
             if !self.reachable.get() {
                 return Err(SourceError::Unreached);
@@ -243,15 +243,15 @@
             }
             sleep(self.latency.get()).await;
             transfer.on_bytes(1);
-            Ok(DirectoryNews {
+            Ok(DirectoryUpdate {
                 revision: 1,
-                told_at: self.clock(),
+                answered_at_ms: self.clock(),
                 delta: DirectoryDelta {
                     whole: after.is_none(),
                     revision: 1,
                     ..DirectoryDelta::default()
                 },
-                invalid: Vec::new(),
+                invalid_rows: Vec::new(),
             })
         })
     }
@@ -340,17 +340,17 @@
 pub async fn follow<F: std::future::Future<Output = ()>>(
     store: &Rc<Store>,
     peer: Option<Rc<Peer>>,
-    script: impl FnOnce(Rc<Router>, Rc<Dependency>) -> F,
+    script: impl FnOnce(Rc<Router>, Rc<StoreMonitor>) -> F,
 ) {
     let router = router();
-    let dependency = Rc::new(Dependency::new("store").expect("chart"));
+    let dependency = Rc::new(StoreMonitor::new("store").expect("chart"));
     let configuration = follow_configuration(router.clone(), store.clone(), dependency.clone());
     let directory = follow_directory(router.clone(), store.clone(), dependency.clone());
     let peers = async {
         let Some(peer) = peer else {
             return std::future::pending().await;
         };
-        let following = follow_peers(router.clone(), peer.clone());
+        let following = fetch_from_peers(router.clone(), peer.clone());
         tokio::join!(following, keep_peer(peer, store.clone(), router.clone()));
     };
     tokio::select! {
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
-use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
+use stacktack_direct::followers::{fetch_from_peers, follow_directory, StoreMonitor};
 use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 use tokio::time::Instant;
@@ -48,7 +48,7 @@
         directory.set(id, true);
     }
     let router = router();
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_directory(router.clone(), directory.clone(), store) => {}
         () = beside_peers(router.clone(), || true) => {}
@@ -101,7 +101,7 @@
                     false => directory.set_leaving("a"),
                 }
                 let known = known_after(&router, "a").await;
-                let bound = router.bounds().leave;
+                let bound = router.bounds().drain_timeout;
                 assert!(
                     known < bound,
                     "pause {pause} ms, by row {by_row}: {known:?}"
@@ -122,7 +122,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         if self.1.get() {
             return Box::pin(async { Err(SourceError::Refused(503)) });
         }
@@ -159,14 +159,14 @@
     for id in ["a", "b"] {
         pair.directory.set(id, true);
     }
-    let store = || Rc::new(Dependency::new("store").expect("chart"));
+    let store = || Rc::new(StoreMonitor::new("store").expect("chart"));
     let (own_store, peer_store) = (store(), store());
     let source = Rc::new(source(pair.peer.clone()));
     let directory = Rc::new(Away(pair.directory.clone(), pair.away.clone()));
     tokio::select! {
         () = follow_directory(pair.router.clone(), directory, own_store.clone()) => {}
         () = follow_directory(pair.peer.clone(), pair.directory.clone(), peer_store) => {}
-        () = follow_peers(pair.router.clone(), source) => {}
+        () = fetch_from_peers(pair.router.clone(), source) => {}
         () = script(pair.clone()) => {}
     }
 }
@@ -246,7 +246,7 @@
         after(3000).await;
         pair.directory.set_leaving("a");
         let known = pair.known_after(&[SILENT, ANSWERING], true).await;
-        assert!(known < pair.router.bounds().leave, "{known:?}");
+        assert!(known < pair.router.bounds().drain_timeout, "{known:?}");
     })
     .await;
 }
@@ -327,7 +327,7 @@
         version: 1,
         ..TrafficConfiguration::default()
     }));
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     let away_at = Instant::now() + Duration::from_millis(6000 + before);
     // The store stops answering the peers together with the router, and they notice its return no
     // sooner than it does.
--- a/crates/stacktack-direct/tests/followers/main.rs
+++ b/crates/stacktack-direct/tests/followers/main.rs
@@ -17,7 +17,7 @@
 
 use stacktack_core::direct::peers::source_age::{EncodedAge, SourceAges, SourceRead, SourceReads};
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::{follow_directory, take_delta, Dependency};
+use stacktack_direct::followers::{apply_delta, follow_directory, StoreMonitor};
 use stacktack_direct::router::Router;
 
 use common::{after, router};
@@ -33,7 +33,7 @@
     directory.set("a", true);
     directory.set("b", true);
     let router = router();
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     let following = follow_directory(router.clone(), directory.clone(), store);
     let script = async {
         after(1000).await;
@@ -123,7 +123,7 @@
                     directory: EncodedAge::new(Duration::from_millis(600)),
                     configuration: None,
                 };
-                router.take_ages(&news, &ages, &reads(&directory));
+                router.apply_source_ages(&news, &ages, &reads(&directory));
             }
             after(100).await;
         }
@@ -159,7 +159,7 @@
                 directory: EncodedAge::new(Duration::from_millis(40)),
                 configuration: None,
             };
-            router.take_ages(&news, &ages, &reads(&directory));
+            router.apply_source_ages(&news, &ages, &reads(&directory));
         };
         let before = directory.calls.get();
         for round in 0..100 {
@@ -168,7 +168,7 @@
                 beside_peers(&router, 30, 100).await;
                 // The peer tells what it knows, of which this router takes the whole from it.
                 let newest = directory.newest();
-                take_delta(
+                apply_delta(
                     &router,
                     newest.delta,
                     newest.revision,
--- a/crates/stacktack-direct/tests/followers/scripted_directory.rs
+++ b/crates/stacktack-direct/tests/followers/scripted_directory.rs
@@ -8,7 +8,7 @@
 
 use stacktack_core::configuration::selector::Labels;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryDelta, RemovedEntry};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::transfer::Transfer;
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
@@ -73,20 +73,20 @@
     }
 
     /// All that it holds.
-    pub fn newest(&self) -> DirectoryNews {
+    pub fn newest(&self) -> DirectoryUpdate {
         self.news(None)
     }
 
-    fn news(&self, after: Option<u64>) -> DirectoryNews {
+    fn news(&self, after: Option<u64>) -> DirectoryUpdate {
         let delta = DirectoryDelta {
             whole: after.is_none(),
             ..DirectoryDelta::default()
         };
-        let mut news = DirectoryNews {
+        let mut news = DirectoryUpdate {
             revision: self.revision.get(),
-            told_at: self.clock(),
+            answered_at_ms: self.clock(),
             delta,
-            invalid: Vec::new(),
+            invalid_rows: Vec::new(),
         };
         for (id, (revision, row)) in self.rows.borrow().iter() {
             if *revision <= after.unwrap_or(0) {
@@ -107,7 +107,7 @@
         news
     }
 
-    async fn changed_news(&self, after: Option<u64>) -> Result<DirectoryNews, SourceError> {
+    async fn changed_news(&self, after: Option<u64>) -> Result<DirectoryUpdate, SourceError> {
         loop {
             let changed = self.changed.notified();
             if self.down.get() {
@@ -128,7 +128,7 @@
         after: Option<u64>,
         wait: Duration,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         self.calls.set(self.calls.get() + 1);
         let call = self.calls.get();
         Box::pin(async move {
--- a/crates/stacktack-direct/tests/followers/start_of_all.rs
+++ b/crates/stacktack-direct/tests/followers/start_of_all.rs
@@ -10,7 +10,7 @@
 use futures_util::future::select_all;
 use futures_util::FutureExt;
 use hyper::StatusCode;
-use stacktack_direct::followers::{follow_directory, follow_peers};
+use stacktack_direct::followers::{fetch_from_peers, follow_directory};
 use stacktack_direct::knowledge::{hand_over, Knowledge, Known, PeerSource};
 use stacktack_direct::news::take;
 use stacktack_direct::ports::{LocalBoxFuture, SourceError};
@@ -51,7 +51,7 @@
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
             let (status, body, under_way) = hand_over(&peer, caller, &known.path_and_query());
             if status == StatusCode::SERVICE_UNAVAILABLE {
-                return Err(SourceError::NoRoom);
+                return Err(SourceError::NoCapacity);
             }
             sleep(COPY).await;
             drop(under_way);
@@ -87,7 +87,8 @@
     let starting = (0..STARTING).map(|_| router_with_seeds(&[address(0)]));
     let routers: Vec<Rc<Router>> = std::iter::once(first).chain(starting).collect();
     let source = Rc::new(HandingOver(routers.clone()));
-    let follow = |router: &Rc<Router>| follow_peers(router.clone(), source.clone()).boxed_local();
+    let follow =
+        |router: &Rc<Router>| fetch_from_peers(router.clone(), source.clone()).boxed_local();
     let followers = select_all(routers[1..].iter().map(follow));
     let begun = Instant::now();
     let know = async {
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
+use stacktack_direct::followers::{fetch_from_peers, follow_directory, StoreMonitor};
 use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 
@@ -35,7 +35,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         self.calls.set(self.calls.get() + 1);
         self.directory.back_ends(after, wait, transfer)
     }
@@ -46,13 +46,13 @@
     loop {
         let news = steady_peer(SEED, 0, from.directory_revision());
         to.peers.borrow_mut().receive(&news, to.now());
-        to.take_ages(&news, &from.told_ages(), &from.told_reads());
+        to.apply_source_ages(&news, &from.source_ages(), &from.source_reads());
         after(100).await;
     }
 }
 
-pub fn store() -> Rc<Dependency> {
-    Rc::new(Dependency::new("store").expect("chart"))
+pub fn store() -> Rc<StoreMonitor> {
+    Rc::new(StoreMonitor::new("store").expect("chart"))
 }
 
 fn knows(router: &Router, id: &str) -> bool {
@@ -85,7 +85,7 @@
         tokio::select! {
             () = start => {}
             () = follow_directory(starting.clone(), counted.clone(), store()) => {}
-            () = follow_peers(starting.clone(), Rc::new(ServingPeer(serving.clone()))) => {}
+            () = fetch_from_peers(starting.clone(), Rc::new(ServingPeer(serving.clone()))) => {}
             () = tell(serving.clone(), starting.clone()) => {}
         }
     };
@@ -147,7 +147,7 @@
         assert!(knows(&starting, "a"));
         mute.set(true);
         directory.set("b", true);
-        let bound = starting.bounds().leave;
+        let bound = starting.bounds().drain_timeout;
         after(bound.as_millis() as u64 * 8 / 10).await;
         assert!(knows(&starting, "b"));
     };
@@ -155,7 +155,7 @@
         () = script => {}
         () = follow_directory(serving.clone(), directory.clone(), store()) => {}
         () = follow_directory(starting.clone(), directory.clone(), store()) => {}
-        () = follow_peers(starting.clone(), source) => {}
+        () = fetch_from_peers(starting.clone(), source) => {}
         () = tell(serving.clone(), starting.clone()) => {}
     }
 }
--- a/crates/stacktack-direct/tests/peer_layouts.rs
+++ b/crates/stacktack-direct/tests/peer_layouts.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryDelta};
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::take_delta;
+use stacktack_direct::followers::apply_delta;
 use stacktack_direct::knowledge::{answer_peer, hand_over, HttpPeers, Known, PeerSource};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -35,7 +35,7 @@
     let (_, delta): (Option<Vec<u8>>, Option<DirectoryDelta>) =
         postcard::from_bytes(FULL_DIRECTORY).expect("parses");
     let router = router();
-    take_delta(
+    apply_delta(
         &router,
         delta.expect("told"),
         9,
@@ -57,7 +57,7 @@
         })
         .collect();
     let router = router();
-    take_delta(&router, delta, 9, RemovalEvidence::PeerDecided);
+    apply_delta(&router, delta, 9, RemovalEvidence::PeerDecided);
     router
 }
 
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -19,9 +19,9 @@
 use stacktack_core::direct::rollout::status::{
     StatusWrite, StatusWriteResult, StoredState, StoredStatus,
 };
-use stacktack_direct::followers::{follow_rollouts, Dependency};
+use stacktack_direct::followers::{write_rollout_statuses, StoreMonitor};
 use stacktack_direct::ports::{
-    LocalBoxFuture, RefusedOrder, RolloutOrderNews, RolloutStore, SourceError,
+    LocalBoxFuture, RefusedOrder, RolloutOrderUpdate, RolloutStore, SourceError,
 };
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -107,7 +107,7 @@
 
 fn order(router: &Router, version: &str) {
     let order = RolloutOrder::new(SERVICE.into(), version.into(), 12.0, ORDERED);
-    router.take_rollout_orders(&RolloutOrderNews {
+    router.take_rollout_orders(&RolloutOrderUpdate {
         orders: vec![order.expect("an order")],
         refused: Vec::new(),
     });
@@ -123,8 +123,12 @@
 }
 
 fn follow(router: &Rc<Router>, store: &Rc<Store>) {
-    let dependency = Rc::new(Dependency::new("store").expect("a chart"));
-    tokio::task::spawn_local(follow_rollouts(router.clone(), store.clone(), dependency));
+    let dependency = Rc::new(StoreMonitor::new("store").expect("a chart"));
+    tokio::task::spawn_local(write_rollout_statuses(
+        router.clone(),
+        store.clone(),
+        dependency,
+    ));
     let judged = router.clone();
     tokio::task::spawn_local(async move {
         loop {
@@ -271,7 +275,7 @@
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
-        router.take_rollout_orders(&RolloutOrderNews {
+        router.take_rollout_orders(&RolloutOrderUpdate {
             orders: Vec::new(),
             refused: vec![RefusedOrder {
                 name: SERVICE.into(),
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -11,8 +11,8 @@
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
 use stacktack_core::time::Time;
 use stacktack_direct::clock::{Clock, RuntimeClock};
-use stacktack_direct::followers::{follow_directory, Dependency};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::followers::{follow_directory, StoreMonitor};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 use stacktack_node::clock::Reading;
@@ -61,16 +61,16 @@
         after: Option<u64>,
         wait: Duration,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         self.calls.set(self.calls.get() + 1);
         Box::pin(async move {
             if after.is_some() {
                 tokio::time::sleep(wait).await;
             }
-            Ok(DirectoryNews {
-                told_at: 0,
+            Ok(DirectoryUpdate {
+                answered_at_ms: 0,
                 revision: 5,
-                ..DirectoryNews::default()
+                ..DirectoryUpdate::default()
             })
         })
     }
@@ -141,7 +141,7 @@
     let local = tokio::task::LocalSet::new();
     let play = async {
         let (clock, router) = world();
-        let store = Rc::new(Dependency::new("store").expect("a chart"));
+        let store = Rc::new(StoreMonitor::new("store").expect("a chart"));
         let directory = Rc::new(QuietDirectory::default());
         tokio::task::spawn_local(follow_directory(
             router.clone(),
--- a/crates/stacktack-direct/tests/verdicts.rs
+++ b/crates/stacktack-direct/tests/verdicts.rs
@@ -13,7 +13,7 @@
 use stacktack_core::direct::quarantine::digest::{RequestDigest, RequestIdentity};
 use stacktack_core::direct::quarantine::record::Treatment;
 use stacktack_core::direct::quarantine::StoredVerdict;
-use stacktack_direct::followers::{follow_verdicts, Dependency};
+use stacktack_direct::followers::{sync_verdicts, StoreMonitor};
 use stacktack_direct::ports::{LocalBoxFuture, SourceError, VerdictStore};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -111,8 +111,8 @@
 }
 
 fn start(router: &Rc<Router>, store: &Rc<Store>) {
-    let dependency = Rc::new(Dependency::new("store").expect("a chart"));
-    tokio::task::spawn_local(follow_verdicts(router.clone(), store.clone(), dependency));
+    let dependency = Rc::new(StoreMonitor::new("store").expect("a chart"));
+    tokio::task::spawn_local(sync_verdicts(router.clone(), store.clone(), dependency));
 }
 
 async fn play(story: impl Future<Output = ()>) {
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -18,9 +18,9 @@
 use stacktack_core::direct::back_ends::slow_start::SlowStart;
 use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainUpdate};
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
-use stacktack_direct::followers::{follow_configuration, follow_zone_drains, Dependency};
+use stacktack_direct::followers::{follow_configuration, read_missed_zone_drains, StoreMonitor};
 use stacktack_direct::ports::{
-    ConfigurationNews, ConfigurationSource, LocalBoxFuture, RolloutOrderNews, SourceError,
+    ConfigurationSource, ConfigurationUpdate, LocalBoxFuture, RolloutOrderUpdate, SourceError,
 };
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -91,21 +91,21 @@
         }
     }
 
-    fn news(&self, after: Option<u64>) -> ConfigurationNews {
+    fn news(&self, after: Option<u64>) -> ConfigurationUpdate {
         let version = self.configuration.get();
         let is_new = version > after.unwrap_or(0);
-        ConfigurationNews {
-            told_at: 0,
+        ConfigurationUpdate {
+            answered_at_ms: 0,
             revision: self.revision.get(),
-            versions: usize::from(is_new),
+            version_count: usize::from(is_new),
             configuration: is_new.then(|| configuration(version)),
             invalid: false,
             zone_drains: self.zone_drains(after),
-            rollouts: RolloutOrderNews::default(),
+            rollouts: RolloutOrderUpdate::default(),
         }
     }
 
-    async fn changed_news(&self, after: u64) -> Result<ConfigurationNews, SourceError> {
+    async fn changed_news(&self, after: u64) -> Result<ConfigurationUpdate, SourceError> {
         loop {
             let changed = self.changed.notified();
             if self.down.get() {
@@ -115,7 +115,7 @@
                 return Err(SourceError::HistoryGone);
             }
             let news = self.news(Some(after));
-            if news.versions > 0 || !news.zone_drains.changes.is_empty() {
+            if news.version_count > 0 || !news.zone_drains.changes.is_empty() {
                 return Ok(news);
             }
             changed.await;
@@ -143,7 +143,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ConfigurationNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<ConfigurationUpdate, SourceError>> {
         Box::pin(async move {
             common::after(4).await;
             if self.down.get() {
@@ -202,10 +202,10 @@
         let mut back_ends = router.back_ends.borrow_mut();
         back_ends.upsert(entry(id, zone), router.now(), &mut change);
     }
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
-        () = follow_zone_drains(router.clone(), operator.clone(), store.clone()) => {}
+        () = read_missed_zone_drains(router.clone(), operator.clone(), store.clone()) => {}
         () = script(operator, router) => {}
     }
 }
@@ -258,7 +258,7 @@
     operator.configure();
     operator.drain("b", true);
     let router = router();
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
         () = after(SOON) => {}
