--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -45,7 +45,7 @@
             Outcome::Open => "caller_left",
             Outcome::CutByStop => "cut_by_stop",
             Outcome::Answered(_) => "answered",
-            Outcome::Refused(kind) => kind.word(),
+            Outcome::Refused(kind) => kind.as_str(),
             Outcome::BrokenOff => "broken_off",
         }
     }
@@ -112,7 +112,7 @@
         if self.outcome == Outcome::Open && *self.router.phase.borrow() == Phase::Ended {
             self.outcome = Outcome::CutByStop;
         }
-        let ran = !matches!(self.outcome, Outcome::Refused(kind) if kind.promises_not_run());
+        let ran = !matches!(self.outcome, Outcome::Refused(kind) if kind.proves_not_run());
         self.router.end_run(&self.route.name, self.run, ran);
         let seconds = self.elapsed().as_secs_f64();
         self.router
@@ -137,7 +137,7 @@
             self.tried.join(","),
             self.history.sends,
             self.history.unreached,
-            self.caller.patience.map_or(0, |patience| patience.as_millis()),
+            self.caller.timeout.map_or(0, |patience| patience.as_millis()),
             self.has_returned,
             self.outcome.word(),
             status,
@@ -186,7 +186,7 @@
             Some(Err(Some(last))) => ExchangeResult::FailedAnswer(last),
             Some(Err(None)) => ExchangeResult::Refused(self.refusal_kind()),
             None if self.attempt_in_flight || self.history.may_have_run => {
-                ExchangeResult::Refused(RefusalKind::TimeOver)
+                ExchangeResult::Refused(RefusalKind::DeadlineExceeded)
             }
             None if router.now() < limit => ExchangeResult::Refused(RefusalKind::Stopping),
             None => ExchangeResult::Refused(RefusalKind::NoBackEnd),
@@ -303,7 +303,7 @@
     /// Why nobody gave an answer.
     fn refusal_kind(&self) -> RefusalKind {
         if self.history.may_have_run && self.remaining().is_zero() {
-            RefusalKind::TimeOver
+            RefusalKind::DeadlineExceeded
         } else if self.history.may_have_run || self.attempt_in_flight {
             RefusalKind::Lost
         } else if self.no_time_before_stop {
--- a/crates/stacktack-direct/tests/peer_layouts.rs
+++ b/crates/stacktack-direct/tests/peer_layouts.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryDelta};
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::take_delta;
+use stacktack_direct::followers::apply_delta;
 use stacktack_direct::peer_updates::{
     respond_to_peer, serve_peer, HttpPeers, PeerQuery, PeerSource,
 };
@@ -37,7 +37,7 @@
     let (_, delta): (Option<Vec<u8>>, Option<DirectoryDelta>) =
         postcard::from_bytes(FULL_DIRECTORY).expect("parses");
     let router = router();
-    take_delta(
+    apply_delta(
         &router,
         delta.expect("told"),
         9,
@@ -59,7 +59,7 @@
         })
         .collect();
     let router = router();
-    take_delta(&router, delta, 9, RemovalEvidence::PeerDecided);
+    apply_delta(&router, delta, 9, RemovalEvidence::PeerDecided);
     router
 }
 
