--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one back end: its connection and its place in the counts.
+//! One attempt at one back end: its connection, the counts that include it, and what the
+//! router learns from it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,63 +20,63 @@
 use crate::rollouts::VersionWatch;
 use crate::router::Router;
 
-/// A failed answer of a back end, kept in case no better one comes.
+/// Error response of a back end, kept in case no attempt gets a better one.
 pub struct FailedResponse {
-    /// Head.
+    /// Status and headers.
     pub head: response::Parts,
     /// Body.
     pub body: Bytes,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 pub enum AttemptOutcome {
-    /// The head of an answer that can go to the caller.
-    Answer(Response<Incoming>, Attempt),
-    /// No such answer.
+    /// The head of a response that can go to the caller.
+    Response(Response<Incoming>, Attempt),
+    /// The attempt got no such response.
     Failure(AttemptFailure, Option<FailedResponse>),
-    /// There was nobody to ask.
+    /// No back end could be chosen.
     NoBackEnd,
-    /// All back ends that could be asked are full.
-    NoRoom,
+    /// Admission control refused the request.
+    NotAdmitted,
 }
 
-/// An attempt under way. Dropping it closes its connection, which cancels the
-/// request at the back end, and takes it out of the counts.
+/// An attempt in flight. Dropping it closes its connection, which cancels the request at the
+/// back end, and removes the attempt from the counts.
 pub struct Attempt {
     router: Rc<Router>,
     /// Id of the back end.
     pub back_end: String,
-    /// Its address.
+    /// Address of the back end.
     pub address: SocketAddr,
-    /// The connection, once the head of the answer is there.
+    /// The connection, once the head of the response has arrived.
     pub connection: Option<ClientConnection>,
     slots: u32,
-    /// Pool that it was chosen from.
+    /// Name of the pool that the back end was chosen from.
     pool: String,
     /// Load of the back end when it was chosen.
     load: f64,
-    /// The life of the back end that it was sent to.
-    pub(crate) life: InstanceId,
-    /// Whether it runs on probation.
+    /// Instance of the back end that the request is sent to.
+    pub(crate) instance: InstanceId,
+    /// Whether the request runs on probation.
     pub(crate) on_probation: bool,
-    /// On the steady clock: what it tells of the back end's speed leaves suspensions of this
-    /// machine out.
-    written: Instant,
-    rest_seconds: Option<u64>,
-    /// What it tells of its back end's version, where that is rolled out.
-    version: Option<Box<VersionWatch>>,
+    /// When the request was written, as an `Instant`: latencies of the back end then exclude
+    /// suspensions of this machine.
+    sent_at: Instant,
+    idle_timeout_seconds: Option<u64>,
+    /// Reports on the version of the back end, if that is being rolled out.
+    version_watch: Option<Box<VersionWatch>>,
 }
 
 impl Attempt {
-    /// Counts the attempt at its back end; `None` if that is not known any more.
+    /// Counts the attempt at its back end; `None` if the back end is no longer known.
     pub fn begin(router: Rc<Router>, back_end: &str, pool: &str, load: f64) -> Option<Self> {
         let now = router.now();
-        let (address, slots, life) = {
+        let (address, slots, instance) = {
             let mut back_ends = router.back_ends.borrow_mut();
             let known = back_ends.get_mut(back_end)?;
             known.on_send(now);
-            let life = InstanceId::of(&known.entry);
-            (known.entry.address, known.entry.slots, life)
+            let instance = InstanceId::of(&known.entry);
+            (known.entry.address, known.entry.slots, instance)
         };
         Some(Attempt {
             router,
@@ -84,21 +85,21 @@
             slots,
             pool: pool.to_owned(),
             load,
-            life,
+            instance,
             on_probation: false,
             connection: None,
-            written: Instant::now(),
-            rest_seconds: None,
-            version: None,
+            sent_at: Instant::now(),
+            idle_timeout_seconds: None,
+            version_watch: None,
         })
     }
 
-    /// It is for a route: its end tells of the version of its back end.
+    /// Makes the outcome of the attempt count for the version of its back end.
     pub(crate) fn watch_version(&mut self, route: &Arc<Route>) {
-        self.version = VersionWatch::begin(&self.router, &self.back_end, route).map(Box::new);
+        self.version_watch = VersionWatch::begin(&self.router, &self.back_end, route).map(Box::new);
     }
 
-    /// Runs on probation: no other suspect goes to its back end meanwhile.
+    /// Puts the attempt on probation: meanwhile its back end gets no other request on probation.
     pub(crate) fn put_on_probation(&mut self) {
         self.on_probation = true;
         self.router
@@ -107,32 +108,33 @@
             .insert(self.back_end.clone());
     }
 
-    /// Changes what is believed of its back end, unless that has begun another life since.
-    fn with_back_end(&self, act: impl FnOnce(&mut BackEnd)) {
+    /// Updates the state of the back end, unless another instance has taken its place.
+    fn with_back_end(&self, update: impl FnOnce(&mut BackEnd)) {
         let mut back_ends = self.router.back_ends.borrow_mut();
         let known = back_ends.get_mut(&self.back_end);
-        if let Some(back_end) = known.filter(|known| InstanceId::of(&known.entry) == self.life) {
-            act(back_end);
+        if let Some(back_end) = known.filter(|known| InstanceId::of(&known.entry) == self.instance)
+        {
+            update(back_end);
         }
     }
 
-    /// The request is about to be written.
+    /// Called just before the request is written.
     pub fn on_write(&mut self) {
-        self.written = Instant::now();
-        if let Some(version) = &self.version {
-            version.on_write(&self.router);
+        self.sent_at = Instant::now();
+        if let Some(version_watch) = &self.version_watch {
+            version_watch.on_write(&self.router);
         }
     }
 
-    /// The head of an answer came.
-    pub fn on_head(&mut self, told: &BackEndAnswer) {
-        self.rest_seconds = told.rest_seconds;
+    /// Called when the head of the response has arrived.
+    pub fn on_head(&mut self, response: &BackEndAnswer) {
+        self.idle_timeout_seconds = response.rest_seconds;
         let now = self.router.now();
-        let after = self.written.elapsed();
-        if let Some(version) = &self.version {
-            version.on_head(after);
+        let after = self.sent_at.elapsed();
+        if let Some(version_watch) = &self.version_watch {
+            version_watch.on_head(after);
         }
-        let load = told.load.map(|load| load.running + load.waiting);
+        let load = response.load.map(|load| load.running + load.waiting);
         self.with_back_end(|back_end| {
             back_end.on_bytes(now);
             back_end.on_first_byte(after);
@@ -142,40 +144,40 @@
         });
     }
 
-    /// The back end took the request, or rejected it for want of room.
-    pub fn note_taken(&self, taken: bool) {
+    /// Records that the back end accepted the request, or rejected it for lack of capacity.
+    pub fn record_acceptance(&self, accepted: bool) {
         let now = self.router.now();
         self.router
-            .with_admission(&self.pool, |admission| admission.on_outcome(taken, now));
+            .with_admission(&self.pool, |admission| admission.on_outcome(accepted, now));
     }
 
-    /// The whole answer came.
-    pub fn on_whole(&self) {
-        let after = self.written.elapsed();
+    /// Called when the response is complete.
+    pub fn on_complete(&self) {
+        let after = self.sent_at.elapsed();
         self.router.with_admission(&self.pool, |admission| {
             admission.on_complete_response(after, self.load, self.slots);
         });
     }
 
-    /// Bytes of the answer came.
+    /// Called when bytes of the response have arrived.
     pub fn on_bytes(&self) {
         let now = self.router.now();
         self.with_back_end(|back_end| back_end.on_bytes(now));
     }
 
-    /// The answer began well.
-    pub fn on_good_answer(&self) {
-        self.note_outcome(false);
+    /// Called when the response has started without a failure.
+    pub fn on_success(&self) {
+        self.record_outcome(false);
     }
 
-    /// The back end failed the request.
+    /// Called when the back end has failed the request.
     pub fn on_failure(&self) {
-        self.note_outcome(true);
+        self.record_outcome(true);
     }
 
-    fn note_outcome(&self, failed: bool) {
-        if let Some(version) = &self.version {
-            version.on_outcome(&self.router, failed);
+    fn record_outcome(&self, failed: bool) {
+        if let Some(version_watch) = &self.version_watch {
+            version_watch.on_outcome(&self.router, failed);
         }
         let now = self.router.now();
         let mut suspect = None;
@@ -189,7 +191,7 @@
         }
     }
 
-    /// The back end could not be reached or fell silent.
+    /// Called when the back end could not be reached, or sent nothing in time.
     pub fn on_unreachable(&self) {
         self.on_failure();
         let now = self.router.now();
@@ -200,7 +202,7 @@
         }
     }
 
-    /// The address belongs to another instance: this one is gone.
+    /// Called when another instance answers at the address: the one that was meant is gone.
     pub fn on_other_instance(&self) {
         let now = self.router.now();
         self.with_back_end(|back_end| {
@@ -211,18 +213,24 @@
         log::info!(target: "belief", "back_end={} replaced=true cause=other_instance", self.back_end);
         let vanished = VanishedInstance {
             back_end: self.back_end.clone(),
-            instance: self.life,
+            instance: self.instance,
         };
         self.router.on_vanished(&[vanished]);
     }
 
-    /// The answer is whole: the connection may serve another request.
+    /// Called when the response is complete: the connection may be reused.
     pub fn finish(mut self) {
         if let Some(connection) = self.connection.take() {
             if connection.is_open() {
-                let mut resting = self.router.connections.borrow_mut();
+                let mut idle_connections = self.router.connections.borrow_mut();
                 let now = Instant::now();
-                resting.put(self.address, self.slots, connection, self.rest_seconds, now);
+                idle_connections.put(
+                    self.address,
+                    self.slots,
+                    connection,
+                    self.idle_timeout_seconds,
+                    now,
+                );
             }
         }
     }
@@ -230,8 +238,8 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if let Some(version) = &self.version {
-            version.on_drop(&self.router, self.written.elapsed());
+        if let Some(version_watch) = &self.version_watch {
+            version_watch.on_drop(&self.router, self.sent_at.elapsed());
         }
         let now = self.router.now();
         if self.on_probation {
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Members of a pool as a request finds them: loads, limits and how well they stand.
+//! Members of a pool at the time of a request: loads, limits and health.
 
 use stacktack_core::configuration::selector::{matches_all, Requirement};
 use stacktack_core::direct::admission::pool_load::{LoadReport, PoolLoad};
@@ -12,18 +12,21 @@
 use crate::router::Router;
 
 impl Router {
-    /// Whether a life of a back end that was chosen takes new work still.
-    pub fn may_send(&self, back_end: &str, life: InstanceId) -> bool {
+    /// Whether an instance of a back end that was chosen still accepts new work.
+    pub fn may_send(&self, back_end: &str, instance: InstanceId) -> bool {
         let back_ends = self.back_ends.borrow();
         let Some(known) = back_ends.get(back_end) else {
             return false;
         };
-        let drained = self.zone_drains.borrow().covers(&known.entry);
-        let is_withheld = self.is_withheld(&known.entry, &back_ends);
-        !known.entry.leaving && !drained && !is_withheld && InstanceId::of(&known.entry) == life
+        let is_drained = self.zone_drains.borrow().covers(&known.entry);
+        let is_blocked = self.is_withheld(&known.entry, &back_ends);
+        !known.entry.leaving
+            && !is_drained
+            && !is_blocked
+            && InstanceId::of(&known.entry) == instance
     }
 
-    /// Candidates of a pool for a request. Without a limit all have room.
+    /// Candidates of a pool for a request. Without a limit none counts as full.
     pub fn candidates(
         &self,
         pool: &[Requirement],
@@ -32,15 +35,15 @@
         limit: Option<SlotLimit>,
     ) -> Candidates {
         let choice = self.version_choice(pool, excluded.is_empty());
-        let candidates = self.candidates_of(choice, pool, excluded, request, limit);
-        if choice == VersionChoice::Side(VersionSelection::New) && !candidates.any_has_room() {
+        let candidates = self.candidates_for_version(choice, pool, excluded, request, limit);
+        if choice == VersionChoice::Side(VersionSelection::New) && !candidates.any_has_capacity() {
             let old = VersionChoice::Side(VersionSelection::Old);
-            return self.candidates_of(old, pool, excluded, request, limit);
+            return self.candidates_for_version(old, pool, excluded, request, limit);
         }
         candidates
     }
 
-    fn candidates_of(
+    fn candidates_for_version(
         &self,
         choice: VersionChoice,
         pool: &[Requirement],
@@ -57,15 +60,15 @@
                 && self.may_choose(entry, choice)
         });
         let mut candidates = Candidates::default();
-        for (index, (member, standing)) in members.into_iter().enumerate() {
+        for (index, (member, health)) in members.into_iter().enumerate() {
             let zone = member.entry.zone();
-            let drained = zone_drains.covers(&member.entry);
+            let is_drained = zone_drains.covers(&member.entry);
             let load = member.load.estimate(now);
             let age = member.load.estimate_age(now);
             let slots = member.entry.slots;
-            // Where nothing is known of others' requests, the own ones have to stay
-            // within the limit.
-            let not_counted = match age {
+            // While the requests of other routers are not known, only this router's own count
+            // against the limit.
+            let load_beyond_own = match age {
                 Some(_) => 0.0,
                 None => load - f64::from(member.load.in_flight),
             };
@@ -73,10 +76,12 @@
                 index,
                 id_hash: member.id_hash,
                 load,
-                limit: limit.map_or(f64::INFINITY, |limit| limit.requests(slots) + not_counted),
+                limit: limit.map_or(f64::INFINITY, |limit| {
+                    limit.requests(slots) + load_beyond_own
+                }),
                 same_zone: zone == Some(&self.settings.zone),
-                standing,
-                eligible: !drained && member.may_get_requests(now),
+                standing: health,
+                eligible: !is_drained && member.may_get_requests(now),
             });
             candidates.reports.push(LoadReport { load, slots, age });
             candidates.ids.push(member.entry.id.clone());
@@ -85,10 +90,10 @@
     }
 }
 
-/// Members of a pool as a request finds them.
+/// Members of a pool at the time of a request.
 #[derive(Debug, Default)]
 pub struct Candidates {
-    /// What decides the choice.
+    /// The members as candidates of the choice.
     pub list: Vec<DirectCandidate>,
     /// What is known of their loads, in the same order.
     reports: Vec<LoadReport>,
@@ -97,33 +102,32 @@
 }
 
 impl Candidates {
-    /// Whether some may get the request and is not full.
-    fn any_has_room(&self) -> bool {
-        let mut open = self.list.iter().filter(|candidate| candidate.eligible);
-        open.any(|candidate| candidate.load < candidate.limit)
+    /// Whether some candidate is eligible and not full.
+    fn any_has_capacity(&self) -> bool {
+        let mut eligible = self.list.iter().filter(|candidate| candidate.eligible);
+        eligible.any(|candidate| candidate.load < candidate.limit)
     }
 
-    /// Load of the pool, over those that may get requests and stand best; `None` where it
-    /// is not known.
+    /// Load of the pool over its eligible members of the best health; `None` if not known.
     pub fn pool_load(&self) -> Option<PoolLoad> {
-        let open = self.list.iter().filter(|candidate| candidate.eligible);
-        let best = open.map(|candidate| candidate.standing).min()?;
-        let stands_best = |(candidate, _): &(&DirectCandidate, _)| {
-            candidate.eligible && candidate.standing == best
+        let eligible = self.list.iter().filter(|candidate| candidate.eligible);
+        let best_health = eligible.map(|candidate| candidate.standing).min()?;
+        let is_best = |(candidate, _): &(&DirectCandidate, _)| {
+            candidate.eligible && candidate.standing == best_health
         };
-        let pairs = self.list.iter().zip(&self.reports).filter(stands_best);
+        let pairs = self.list.iter().zip(&self.reports).filter(is_best);
         let reports: Vec<LoadReport> = pairs.map(|(_, report)| *report).collect();
         PoolLoad::from_reports(&reports)
     }
 
-    /// Mean of the loads, 0 for no member.
+    /// Mean of the loads; 0 without members.
     pub fn mean_load(&self) -> f64 {
         let sum: f64 = self.list.iter().map(|candidate| candidate.load).sum();
         sum / self.list.len().max(1) as f64
     }
 
-    /// Takes for each member the load that is to be expected from the age of its news,
-    /// and the limit that follows from the load of the pool.
+    /// Sets each member's load to what is expected from the age of its report, and its limit to
+    /// what follows from the load of the pool.
     pub fn apply_pool_load(&mut self, pool: &PoolLoad, hold_seconds: f64) {
         for (candidate, report) in self.list.iter_mut().zip(&self.reports) {
             candidate.load = if candidate.eligible {
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice for one attempt, and where prompt parts are.
+//! Choice of a back end for one attempt, and locations of cached prompt parts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,28 +20,30 @@
 use crate::exchange::Exchange;
 use crate::router::pool_name;
 
-/// Shared prompt tokens from which copying beats reading again.
-const FETCH_TOKENS: u32 = 256;
+/// Minimum number of shared prompt tokens for which copying them from another back end is faster
+/// than processing them again.
+const MIN_FETCH_TOKENS: u32 = 256;
 
-/// Age at which the place of a prompt part is told to peers again.
-const TELL_AGAIN: Duration = Duration::from_secs(8);
+/// Time after the last use of a prompt part at a back end from which its location is announced
+/// again.
+const REANNOUNCE_AFTER: Duration = Duration::from_secs(8);
 
-/// A chosen back end and what decided it.
+/// A chosen back end and what decided the choice.
 pub(crate) struct Choice {
     /// Id of the back end.
     pub back_end: String,
-    /// Loads and place in the order.
+    /// Loads, and rank in the rendezvous order.
     pub selection: Selection,
-    /// How well it stands.
-    pub standing: Health,
-    /// Age of the load that it told; `None` when the peers' counts are believed.
+    /// Health of the back end.
+    pub health: Health,
+    /// Age of the load that the back end reported; `None` when the peers' counts are used.
     pub load_age: Option<Duration>,
-    /// Load of its pool; `None` where it is not known.
+    /// Load of the pool; `None` if not known.
     pub pool_load: Option<PoolLoad>,
 }
 
 impl Choice {
-    /// The choice for a request on probation: no load and no prompt part decided it.
+    /// Choice for a request on probation, which neither load nor prompt parts decide.
     pub(crate) fn for_probation(
         candidate: &DirectCandidate,
         mean: f64,
@@ -58,19 +60,19 @@
                 rank: 0,
                 start_index: None,
             },
-            standing: candidate.standing,
+            health: candidate.standing,
             load_age,
             pool_load: None,
         }
     }
 
-    /// Age of the load for logs, in milliseconds.
+    /// Age of the load in milliseconds, for logs.
     pub(crate) fn load_age_text(&self) -> String {
         self.load_age
             .map_or_else(|| "-".to_owned(), |age| age.as_millis().to_string())
     }
 
-    /// Age of the pool's load for logs, in milliseconds.
+    /// Age of the pool's load in milliseconds, for logs.
     pub(crate) fn pool_age_text(&self) -> String {
         self.pool_load.map_or_else(
             || "-".to_owned(),
@@ -78,7 +80,7 @@
         )
     }
 
-    /// Load of the pool for logs, in multiples of its slots.
+    /// Load of the pool in multiples of its slots, for logs.
     pub(crate) fn pool_fill_text(&self) -> String {
         self.pool_load
             .map_or_else(|| "-".to_owned(), |pool| format!("{:.2}", pool.fill()))
@@ -86,7 +88,7 @@
 }
 
 impl Exchange {
-    /// Chooses a back end that was not tried; `None` when there is none.
+    /// Chooses a back end that was not tried; `None` if there is none.
     pub(crate) fn select(&self, limit: Option<SlotLimit>) -> Option<Choice> {
         let mut candidates =
             self.router
@@ -101,26 +103,31 @@
         }
         let selection = match self.caller.prompt.affinity_part() {
             Some(part) => {
-                let bounds = self.spread(part.id, &candidates, bounds);
+                let bounds = self.spread_bounds(part.id, &candidates, bounds);
                 select_by_affinity(&candidates.list, part.id, &bounds)
             }
             None => select_by_load(&candidates.list, rand::rng().next_u64(), &bounds),
         }?;
-        let standing = candidates.list[selection.index].standing;
+        let health = candidates.list[selection.index].standing;
         let back_end = candidates.ids[selection.index].clone();
         let load_age = self.router.load_age(&back_end);
         Some(Choice {
             back_end,
             selection,
-            standing,
+            health,
             load_age,
             pool_load,
         })
     }
 
-    /// Bounds for a request whose part is spread over as many places as its share of this router's requests
-    /// asks for; it begins at any of them.
-    fn spread(&self, part: u64, candidates: &Candidates, bounds: SelectBounds) -> SelectBounds {
+    /// Bounds for a request whose prompt part is spread over as many replicas as its share of this
+    /// router's requests requires; the request starts at a random one of them.
+    fn spread_bounds(
+        &self,
+        part: u64,
+        candidates: &Candidates,
+        bounds: SelectBounds,
+    ) -> SelectBounds {
         let is_first_try = self.tried.is_empty();
         let now = self.router.now();
         let mean_load = candidates.mean_load();
@@ -130,33 +137,33 @@
             spill_headroom: bounds.spill_headroom(mean_load),
         };
         let name = pool_name(self.pool());
-        let places = self.router.with_part_shares(name, |shares| {
+        let replicas = self.router.with_part_shares(name, |shares| {
             if is_first_try {
                 shares.record(part, now);
             }
             shares.replicas(part, &pool)
         });
-        bounds.spread_over(places, rand::rng().random_range(0..places))
+        bounds.spread_over(replicas, rand::rng().random_range(0..replicas))
     }
 
-    /// What a failure of the next attempt costs.
+    /// Whether the request may be sent again if the next attempt fails.
     pub(crate) fn retryability(&self) -> Retryability {
-        if self.may_repeat_next() {
+        if self.may_retry_after_next() {
             Retryability::Retryable
         } else {
             Retryability::NotRetryable
         }
     }
 
-    /// Another back end that keeps, or is likely to keep, the shared parts of
-    /// the prompt; `None` when the chosen one is known to keep them.
+    /// Address of another back end that has, or is likely to have, the shared prompt parts cached;
+    /// `None` if the chosen one is known to have them, or they are too short.
     pub(crate) fn fetch_source(&self, back_end: &str) -> Option<SocketAddr> {
         let part = self.caller.prompt.affinity_part()?;
-        if self.caller.prompt.shared_tokens() < FETCH_TOKENS {
+        if self.caller.prompt.shared_tokens() < MIN_FETCH_TOKENS {
             return None;
         }
-        let places = self.router.places.borrow();
-        let holders = places.holders(part.id);
+        let locations = self.router.places.borrow();
+        let holders = locations.holders(part.id);
         if holders.iter().any(|holder| holder.back_end == back_end) {
             return None;
         }
@@ -173,23 +180,23 @@
         likely_holder(pool, part.id, back_end).map(|holder| holder.entry.address)
     }
 
-    /// Remembers where the prompt was read, and tells peers of a new place that is not its home.
-    pub(crate) fn record_place(&self, back_end: &str) {
+    /// Records where the prompt was read, and announces a new location to peers unless it is the
+    /// home.
+    pub(crate) fn record_prefix_location(&self, back_end: &str) {
         let Some(part) = self.caller.prompt.affinity_part() else {
             return;
         };
         let now = self.router.now();
-        let mut places = self.router.places.borrow_mut();
-        let told = places
-            .holders(part.id)
-            .iter()
-            .any(|holder| holder.back_end == back_end && now.since(holder.last_used) < TELL_AGAIN);
-        places.record(part.id, back_end, now);
+        let mut locations = self.router.places.borrow_mut();
+        let is_recent = locations.holders(part.id).iter().any(|holder| {
+            holder.back_end == back_end && now.since(holder.last_used) < REANNOUNCE_AFTER
+        });
+        locations.record(part.id, back_end, now);
         let back_ends = self.router.back_ends.borrow();
         let mut pool = back_ends
             .iter()
             .filter(|member| matches_all(self.pool(), &member.entry.labels));
-        if told || is_home(&mut pool, part.id, back_end) {
+        if is_recent || is_home(&mut pool, part.id, back_end) {
             return;
         }
         if let Some(known) = back_ends.get(back_end) {
--- a/crates/stacktack-direct/src/count_guard.rs
+++ b/crates/stacktack-direct/src/count_guard.rs
@@ -1,18 +1,18 @@
-//! Counts of what is under way, which go down when it ends in whatever way.
+//! Counts of work in flight, which are decremented however the work ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use crate::router::Router;
 
-/// One of what a count of the router tells.
+/// Keeps a count of the router raised by one until dropped.
 pub(crate) struct CountGuard {
     router: Rc<Router>,
     count: fn(&Router) -> &Cell<usize>,
 }
 
 impl CountGuard {
-    /// One more, until this is dropped.
+    /// Increments a count.
     pub(crate) fn new(router: Rc<Router>, count: fn(&Router) -> &Cell<usize>) -> Self {
         let cell = count(&router);
         cell.set(cell.get() + 1);
--- a/crates/stacktack-direct/src/crash_detection.rs
+++ b/crates/stacktack-direct/src/crash_detection.rs
@@ -1,5 +1,5 @@
-//! Whether a back end ended: what broke there is then explained by one of the requests
-//! that it ran, or by its machine, and not by a link or a single answer.
+//! Detects that a back end ended: its interrupted runs are then explained by one of the requests
+//! that it ran, or by its machine, and not by a link or a single response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,46 +17,46 @@
 use crate::exchange::Exchange;
 use crate::router::Router;
 
-/// Longest time for a look at whether a back end still accepts connections: links of a
-/// region take a few milliseconds. A look that takes longer proves nothing.
-const LOOK_LIMIT: Duration = Duration::from_millis(100);
+/// Maximum time for connecting to a back end in a crash probe: links of a region take a few
+/// milliseconds. A connection that takes longer proves nothing.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a living back end keeps the connection of a look. One that ends may close its
-/// listener after its connections: connections came up 1 ms after they had all broken. A repeat waits
-/// this long where only its connection was cut.
-const KEPT_FOR: Duration = Duration::from_millis(10);
+/// Time for which a probe's connection must stay open to show that the back end lives. One that
+/// ends may close its listener after its connections: connections were accepted 1 ms after all
+/// others had broken. A retry waits this long if only its connection was cut.
+const PROBE_HOLD_TIME: Duration = Duration::from_millis(10);
 
-/// Connections of one look, where each is closed at once.
-const LOOK_TRIES: u32 = 3;
+/// Maximum number of connections of one probe, if each is closed at once.
+const MAX_PROBE_CONNECTIONS: u32 = 3;
 
-/// Time for which one look counts for all runs that break off at the same back end: an end
-/// breaks dozens at the same moment.
-const LOOK_AGAIN: Duration = Duration::from_millis(300);
+/// Time for which one probe counts for all runs that are interrupted at the same back end, since a
+/// crash interrupts dozens at the same moment.
+const PROBE_REUSE_TIME: Duration = Duration::from_millis(300);
 
-/// Requests that one log line names.
-const NAMED: usize = 12;
+/// Maximum number of interrupted runs that one log line lists.
+const MAX_LOGGED_RUNS: usize = 12;
 
-/// A look that is under way or was just done, and its end.
+/// A crash probe that is running or recently finished.
 pub(crate) struct CrashProbe {
-    begun: Time,
+    started: Time,
     done: CrashProbeDone,
 }
 
-/// Resolves when a look is over.
+/// Resolves when a crash probe has finished.
 pub(crate) type CrashProbeDone = Shared<LocalBoxFuture<'static, ()>>;
 
-/// A back end as a look finds it.
+/// The back end that a crash probe connects to.
 #[derive(Clone, Debug)]
-struct Subject {
+struct ProbeTarget {
     id: String,
-    life: InstanceId,
+    instance: InstanceId,
     address: SocketAddr,
 }
 
 impl Exchange {
-    /// A run broke off or fell silent: what ran it may have ended. Returns the look at that,
-    /// if there is one.
-    pub(crate) fn note_broken_run(
+    /// Records a run that broke off or timed out, since its back end may have ended. Returns the
+    /// crash probe that checks this, if there is one.
+    pub(crate) fn record_interrupted_run(
         &self,
         attempt: &Attempt,
         failure: AttemptFailure,
@@ -70,43 +70,43 @@
             on_probation: attempt.on_probation,
             at: self.router.now(),
         };
-        let life = attempt.life;
-        self.router.broken_runs.borrow_mut().add(life, run);
-        let has_ended = self.router.broken_runs.borrow().has_ended(life);
+        let instance = attempt.instance;
+        self.router.broken_runs.borrow_mut().add(instance, run);
+        let has_ended = self.router.broken_runs.borrow().has_ended(instance);
         if has_ended {
             self.router
-                .on_back_end_ended(&attempt.back_end, life, "seen_before");
+                .on_back_end_ended(&attempt.back_end, instance, "seen_before");
             return None;
         }
-        let subject = Subject {
+        let target = ProbeTarget {
             id: attempt.back_end.clone(),
-            life,
+            instance,
             address: attempt.address,
         };
-        (failure == AttemptFailure::Broken).then(|| look_at(&self.router, subject))
+        (failure == AttemptFailure::Broken).then(|| probe(&self.router, target))
     }
 }
 
-/// Looks whether a back end still accepts connections; one look serves all who ask at
-/// about the same time, and goes on when they leave.
-fn look_at(router: &Rc<Router>, subject: Subject) -> CrashProbeDone {
+/// Checks whether a back end still accepts connections. One probe serves all requests that ask at
+/// about the same time, and goes on when they end.
+fn probe(router: &Rc<Router>, target: ProbeTarget) -> CrashProbeDone {
     let now = router.now();
-    let mut looks = router.looks.borrow_mut();
-    looks.retain(|_, look| now.since(look.begun) < LOOK_AGAIN);
-    let known = looks.entry(subject.life).or_insert_with(|| {
-        let done = look(router.clone(), subject).boxed_local().shared();
+    let mut probes = router.looks.borrow_mut();
+    probes.retain(|_, probe| now.since(probe.started) < PROBE_REUSE_TIME);
+    let known = probes.entry(target.instance).or_insert_with(|| {
+        let done = run_probe(router.clone(), target).boxed_local().shared();
         actix_rt::spawn(done.clone());
-        CrashProbe { begun: now, done }
+        CrashProbe { started: now, done }
     });
     known.done.clone()
 }
 
-async fn look(router: Rc<Router>, subject: Subject) {
-    let id = &subject.id;
-    match reach(subject.address).await {
+async fn run_probe(router: Rc<Router>, target: ProbeTarget) {
+    let id = &target.id;
+    match check_connection(target.address).await {
         Ok(()) => log::info!(target: "ended", "back_end={id} ended=false cause=accepts"),
         Err(error) if error.is_refused() => {
-            router.on_back_end_ended(id, subject.life, "refused");
+            router.on_back_end_ended(id, target.instance, "refused");
         }
         Err(error) => {
             log::info!(target: "ended", "back_end={id} ended=unknown cause=\"{error}\"");
@@ -114,56 +114,64 @@
     }
 }
 
-/// Whether somebody listens and keeps a connection. One that comes up and ends at once may be the
-/// last that a closing listener took, so that it is tried again.
-async fn reach(address: SocketAddr) -> Result<(), ConnectError> {
-    let mut reached = Ok(());
-    for _ in 0..LOOK_TRIES {
-        let connected = connect_kept(address, LOOK_LIMIT, KEPT_FOR).await;
-        reached = connected.map(|_| ());
-        if !matches!(reached, Err(ConnectError::TurnedAway)) {
+/// Connects, and checks that the connection stays open. One that is closed at once may be the last
+/// that a closing listener accepted, so the connection is tried again.
+async fn check_connection(address: SocketAddr) -> Result<(), ConnectError> {
+    let mut result = Ok(());
+    for _ in 0..MAX_PROBE_CONNECTIONS {
+        let connected = connect_kept(address, PROBE_TIMEOUT, PROBE_HOLD_TIME).await;
+        result = connected.map(|_| ());
+        if !matches!(result, Err(ConnectError::TurnedAway)) {
             break;
         }
     }
-    reached
+    result
 }
 
 impl Router {
-    /// It showed that a life of a back end ended: what broke off there counts against the
-    /// requests that it was running.
-    pub(crate) fn on_back_end_ended(&self, back_end: &str, life: InstanceId, cause: &'static str) {
+    /// Called when an instance of a back end is known to have ended. Its interrupted runs count
+    /// against their requests, unless its end was planned.
+    pub(crate) fn on_back_end_ended(
+        &self,
+        back_end: &str,
+        instance: InstanceId,
+        cause: &'static str,
+    ) {
         let now = self.now();
-        let runs = self.broken_runs.borrow_mut().on_back_end_ended(life, now);
-        let named: Vec<String> = runs
+        let runs = self
+            .broken_runs
+            .borrow_mut()
+            .on_back_end_ended(instance, now);
+        let logged_runs: Vec<String> = runs
             .iter()
-            .take(NAMED)
+            .take(MAX_LOGGED_RUNS)
             .map(|run| format!("{}:{}", run.id, run.digest))
             .collect();
         log::info!(
             target: "ended",
             "back_end={back_end} ended=true cause={cause} broken={} requests={}",
             runs.len(),
-            named.join(","),
+            logged_runs.join(","),
         );
         self.metrics.count_ended(cause);
         if self.is_leaving(back_end) {
-            // A planned end is nobody's doing.
+            // A planned end is not caused by a request.
             return;
         }
         for run in runs {
             let mut quarantine = self.quarantine.borrow_mut();
-            let change = quarantine.on_crash(run.digest, life, run.on_probation, now);
+            let change = quarantine.on_crash(run.digest, instance, run.on_probation, now);
             drop(quarantine);
             self.note_treatment(change, "own");
         }
     }
 
-    /// A request found nobody there. Where runs had broken off and the look at that was lost on
-    /// its way, this shows that the back end ended.
-    pub(crate) fn on_refused(&self, back_end: &str, life: InstanceId) {
-        let waiting = self.broken_runs.borrow().has_unexplained(life);
-        if waiting {
-            self.on_back_end_ended(back_end, life, "refused");
+    /// Called when a request's connection was refused. If runs were interrupted there whose probe
+    /// was lost on its way, this shows that the back end ended.
+    pub(crate) fn on_connection_refused(&self, back_end: &str, instance: InstanceId) {
+        let has_unexplained = self.broken_runs.borrow().has_unexplained(instance);
+        if has_unexplained {
+            self.on_back_end_ended(back_end, instance, "refused");
         }
     }
 
@@ -173,17 +181,13 @@
         known.is_some_and(|known| known.entry.leaving)
     }
 
-    /// Entries vanished from the directory, or tell of another life: where runs had broken
-    /// off, the lives that they were known under have ended.
+    /// Called when entries vanished from the directory, or name another instance: where runs were
+    /// interrupted, the instances that vanished have ended.
     pub(crate) fn on_vanished(&self, vanished: &[VanishedInstance]) {
-        for VanishedInstance {
-            back_end,
-            instance: life,
-        } in vanished
-        {
-            let waiting = self.broken_runs.borrow().has_unexplained(*life);
-            if waiting {
-                self.on_back_end_ended(back_end, *life, "vanished");
+        for VanishedInstance { back_end, instance } in vanished {
+            let has_unexplained = self.broken_runs.borrow().has_unexplained(*instance);
+            if has_unexplained {
+                self.on_back_end_ended(back_end, *instance, "vanished");
             }
         }
     }
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One caller's request, from its head to the head of its answer.
+//! One caller's request, from its head to the head of its response.
 
 use std::cell::OnceCell;
 use std::future::Future;
@@ -24,23 +24,23 @@
 use crate::response_buffering::ForwardedResponse;
 use crate::router::{Phase, Router};
 
-/// How a request ended, for its log line and metrics.
+/// Outcome of a request, for its log line and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Not over yet; at its end this means that the caller left.
+    /// The request has not ended; when the exchange is dropped, the caller has left.
     Open,
-    /// A back end's answer was passed on whole.
+    /// A back end's complete response was passed on, with this status.
     Answered(u16),
-    /// The router answered itself.
+    /// The router responded itself.
     Refused(RefusalKind),
-    /// The answer broke off midway.
+    /// The response broke off midway.
     BrokenOff,
-    /// The process ended before the answer did.
+    /// The process ended before the response did.
     CutByStop,
 }
 
 impl Outcome {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Outcome::Open => "caller_left",
             Outcome::CutByStop => "cut_by_stop",
@@ -53,11 +53,11 @@
 
 /// What can go to the caller.
 pub(crate) enum ExchangeResult {
-    /// A back end's answer, and the attempt that it came from.
-    Answer(ForwardedResponse, Box<Attempt>),
-    /// A back end's failure: nobody gave a better answer.
-    FailedAnswer(FailedResponse),
-    /// Nobody gave an answer.
+    /// A back end's response, and the attempt that it came from.
+    Response(ForwardedResponse, Box<Attempt>),
+    /// A back end's error response; no attempt got a better one.
+    FailedResponse(FailedResponse),
+    /// No back end responded.
     Refused(RefusalKind),
 }
 
@@ -65,37 +65,40 @@
 pub struct Exchange {
     pub(crate) router: Rc<Router>,
     pub(crate) route: Arc<Route>,
+    /// Index of the request's target in its route.
     pub(crate) target: usize,
     pub(crate) id: String,
     pub(crate) tenant: Option<Arc<Tenant>>,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     pub(crate) caller: CallerRequest,
+    /// Version of the configuration that the request is served by.
     pub(crate) version: u64,
     pub(crate) started: Time,
-    /// Its entry in the run times of its route.
+    /// Entry in the run times of the route.
     pub(crate) run: RunId,
-    /// Whether it is one of [`Router::taken_as_last`].
+    /// Whether the router admitted the request during its stop, after its deregistration.
     pub(crate) admitted_after_deregistration: bool,
-    /// When it is over.
+    /// When the request has to be over.
     pub(crate) deadline: Time,
-    /// Which request it is; worked out when it first matters.
+    /// Digest of the request; computed when first needed.
     pub(crate) digest: OnceCell<RequestDigest>,
     pub(crate) history: AttemptHistory,
-    /// The look at whether the last attempt's back end ended.
+    /// Crash probe of the last attempt's back end.
     pub(crate) crash_probe: Option<CrashProbeDone>,
-    /// Whether an attempt is under way that may run.
+    /// Whether the current attempt may run: its request may have been written.
     pub(crate) attempt_in_flight: bool,
-    /// Whether the retry budget granted a repeat that was not written anywhere yet.
+    /// Whether the retry budget granted a retry that has not been written yet.
     pub(crate) is_retry_granted: bool,
+    /// Ids of the back ends that were tried, in order.
     pub(crate) tried: Vec<String>,
-    /// Whether its pool took it.
+    /// Whether the pool admitted the request.
     pub(crate) admitted: bool,
-    /// Whether its caller came back after a refusal, as far as its patience tells.
+    /// Whether the caller returns after a refusal, judging by its timeout.
     pub(crate) has_returned: bool,
-    /// Whether it got no further attempt since the process ends too soon.
+    /// Whether the request got no further attempt because the process ends too soon.
     pub(crate) no_time_before_stop: bool,
-    /// After what time the caller may come back, once its pool had no room.
+    /// Time after which the caller may come back; set when its pool refused the request.
     pub(crate) retry_after: Option<Duration>,
     pub(crate) outcome: Outcome,
 }
@@ -115,9 +118,9 @@
         let seconds = self.elapsed().as_secs_f64();
         self.router
             .metrics
-            .count_request(self.outcome.word(), seconds);
+            .count_request(self.outcome.as_str(), seconds);
         if self.has_returned {
-            self.router.metrics.count_return(self.outcome.word());
+            self.router.metrics.count_return(self.outcome.as_str());
         }
         let status = match self.outcome {
             Outcome::Answered(status) => status,
@@ -135,7 +138,7 @@
             self.history.unreached,
             self.caller.patience.map_or(0, |patience| patience.as_millis()),
             self.has_returned,
-            self.outcome.word(),
+            self.outcome.as_str(),
             status,
             seconds * 1000.0,
         );
@@ -143,22 +146,22 @@
 }
 
 impl Exchange {
-    /// Conditions on the back ends that may serve the request.
+    /// Conditions that a back end must meet to serve the request.
     pub(crate) fn pool(&self) -> &[Requirement] {
         &self.route.targets[self.target].back_ends
     }
 
-    /// Time since it came.
+    /// Time since the request arrived.
     pub(crate) fn elapsed(&self) -> Duration {
         self.router.now().since(self.started)
     }
 
-    /// Time that it has left.
+    /// Time until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.since(self.router.now())
     }
 
-    /// Rank among requests to the same pool; a tenant's goes before its route's.
+    /// Priority among requests to the same pool; a tenant's takes precedence over its route's.
     pub(crate) fn priority(&self) -> u8 {
         let tenant = self.tenant.as_deref();
         tenant
@@ -166,32 +169,33 @@
             .unwrap_or(self.route.priority)
     }
 
-    /// Sends the request until an answer can go to the caller.
+    /// Sends the request until a response can go to the caller.
     pub(crate) async fn run(&mut self) -> ExchangeResult {
-        let limit = self.deadline;
-        let verdict = self.verdict();
+        let deadline = self.deadline;
+        let set_aside = self.until_set_aside();
         let router = self.router.clone();
-        let ended = tokio::select! {
+        let result = tokio::select! {
             biased;
-            ended = self.attempts() => Some(ended),
-            () = router.until_answer_due(limit) => None,
-            () = verdict => return ExchangeResult::Refused(self.refusal_kind()),
+            result = self.run_attempts() => Some(result),
+            () = router.until_answer_due(deadline) => None,
+            () = set_aside => return ExchangeResult::Refused(self.refusal_kind()),
         };
-        match ended {
-            Some(Ok((answer, attempt))) => ExchangeResult::Answer(answer, Box::new(attempt)),
-            Some(Err(Some(last))) => ExchangeResult::FailedAnswer(last),
+        match result {
+            Some(Ok((response, attempt))) => ExchangeResult::Response(response, Box::new(attempt)),
+            Some(Err(Some(failed))) => ExchangeResult::FailedResponse(failed),
             Some(Err(None)) => ExchangeResult::Refused(self.refusal_kind()),
             None if self.attempt_in_flight || self.history.may_have_run => {
                 ExchangeResult::Refused(RefusalKind::TimeOver)
             }
-            None if router.now() < limit => ExchangeResult::Refused(RefusalKind::Stopping),
+            None if router.now() < deadline => ExchangeResult::Refused(RefusalKind::Stopping),
             None => ExchangeResult::Refused(RefusalKind::NoBackEnd),
         }
     }
 
-    /// Resolves when the request is set aside: a run that waits in a back end's queue is
-    /// withdrawn before it begins. Does not look while nothing speaks against any request.
-    fn verdict(&self) -> impl Future<Output = ()> {
+    /// Resolves when the request is set aside, so that a run that waits in a back end's queue is
+    /// cancelled before it starts. Checks nothing while the quarantine has no record of any
+    /// request.
+    fn until_set_aside(&self) -> impl Future<Output = ()> {
         let is_empty = self.router.quarantine.borrow().is_empty();
         let watched = (!is_empty).then(|| (self.router.clone(), self.digest()));
         async move {
@@ -202,31 +206,35 @@
         }
     }
 
-    /// Attempts until one gives an answer; else the last failed answer.
-    async fn attempts(&mut self) -> Result<(ForwardedResponse, Attempt), Option<FailedResponse>> {
-        let mut stored = None;
+    /// Makes attempts until one gets a response; else returns the last failed response.
+    async fn run_attempts(
+        &mut self,
+    ) -> Result<(ForwardedResponse, Attempt), Option<FailedResponse>> {
+        let mut last_failed_response = None;
         loop {
             match self.attempt(None).await {
-                AttemptOutcome::Answer(response, attempt) => {
-                    match self.hold(response, attempt).await {
-                        Ok(answer) => return Ok(answer),
-                        Err(failure) => self.note_failure(failure, "-"),
+                AttemptOutcome::Response(response, attempt) => {
+                    match self.buffer_response(response, attempt).await {
+                        Ok(response) => return Ok(response),
+                        Err(failure) => self.record_failure(failure, "-"),
                     }
                 }
-                AttemptOutcome::Failure(failure, answer) => {
-                    self.note_failure(failure, "-");
-                    stored = answer.or(stored);
+                AttemptOutcome::Failure(failure, failed_response) => {
+                    self.record_failure(failure, "-");
+                    last_failed_response = failed_response.or(last_failed_response);
+                }
+                AttemptOutcome::NoBackEnd | AttemptOutcome::NotAdmitted => {
+                    return Err(last_failed_response)
                 }
-                AttemptOutcome::NoBackEnd | AttemptOutcome::NoRoom => return Err(stored),
             }
-            if !self.has_time_for_another() || !self.may_try_again().await {
-                return Err(stored);
+            if !self.has_time_for_retry() || !self.may_retry().await {
+                return Err(last_failed_response);
             }
         }
     }
 
-    /// Whether the answer to another attempt has time to become whole before the process ends.
-    pub(crate) fn has_time_for_another(&mut self) -> bool {
+    /// Whether the response to another attempt can be complete before the process ends.
+    pub(crate) fn has_time_for_retry(&mut self) -> bool {
         self.no_time_before_stop = !self.router.has_time_for_another(&self.route, self.deadline);
         if self.no_time_before_stop {
             log::info!(target: "stop", "id={} another_attempt=false sends={}", self.id, self.history.sends);
@@ -234,8 +242,8 @@
         !self.no_time_before_stop
     }
 
-    /// Counts and logs an attempt that failed.
-    pub(crate) fn note_failure(&mut self, failure: AttemptFailure, after: &str) {
+    /// Counts and logs a failed attempt.
+    pub(crate) fn record_failure(&mut self, failure: AttemptFailure, after: &str) {
         self.attempt_in_flight = false;
         self.history.record(failure);
         self.router.metrics.count_attempt(failure.as_str());
@@ -251,19 +259,20 @@
         );
     }
 
-    /// Whether history and budget allow one more send. A suspect that arrived gets none: repeats
-    /// are earned by all, and one more run of it may end one more back end.
-    async fn may_try_again(&mut self) -> bool {
+    /// Whether attempt history and retry budget allow one more send. A request on probation that
+    /// reached a back end gets none: the budget is earned by all requests, and one more run may
+    /// crash one more back end.
+    async fn may_retry(&mut self) -> bool {
         if !self
             .history
             .may_send_again(self.route.kind, self.route.max_attempts)
         {
             return false;
         }
-        if let Some(look) = self.crash_probe.take() {
-            // Whether its back end ended counts for how it is treated. A refused connection took 3 ms
-            // between zones of a region.
-            look.await;
+        if let Some(crash_probe) = self.crash_probe.take() {
+            // A crash changes the treatment of the request. A refused connection takes 3 ms between
+            // zones of a region.
+            crash_probe.await;
         }
         if self.history.has_arrived() && self.treatment() >= Treatment::Probation {
             return false;
@@ -277,26 +286,26 @@
         self.is_retry_granted
     }
 
-    /// Streams are passed on at once, other answers when they are whole.
-    async fn hold(
+    /// Buffers a response until it is complete; streams are passed on at once.
+    async fn buffer_response(
         &mut self,
         response: Response<Incoming>,
         attempt: Attempt,
     ) -> Result<(ForwardedResponse, Attempt), AttemptFailure> {
         if self.route.kind.is_stream() && response.status().is_success() {
-            return Ok((ForwardedResponse::coming(response), attempt));
+            return Ok((ForwardedResponse::streaming(response), attempt));
         }
         match ForwardedResponse::read(response, &attempt).await {
-            Ok(answer) => Ok((answer, attempt)),
+            Ok(response) => Ok((response, attempt)),
             Err(failure) => {
                 attempt.on_failure();
-                self.crash_probe = self.note_broken_run(&attempt, failure);
+                self.crash_probe = self.record_interrupted_run(&attempt, failure);
                 Err(failure)
             }
         }
     }
 
-    /// Why nobody gave an answer.
+    /// Why the request got no response.
     fn refusal_kind(&self) -> RefusalKind {
         if self.history.may_have_run && self.remaining().is_zero() {
             RefusalKind::TimeOver
@@ -319,8 +328,8 @@
         }
     }
 
-    /// Continues a stream at another back end after an event; `None` when the
-    /// request is not sent again.
+    /// Resumes a stream at another back end after an event; `None` if the request is not sent
+    /// again.
     pub(crate) async fn resume(
         &mut self,
         after: Option<&str>,
@@ -328,17 +337,17 @@
     ) -> Option<(Incoming, Attempt)> {
         let mut failure = failure;
         loop {
-            self.note_failure(failure, after.unwrap_or("-"));
-            if !self.may_try_again().await {
+            self.record_failure(failure, after.unwrap_or("-"));
+            if !self.may_retry().await {
                 return None;
             }
             match self.attempt(after).await {
-                AttemptOutcome::Answer(response, attempt) if response.status().is_success() => {
+                AttemptOutcome::Response(response, attempt) if response.status().is_success() => {
                     return Some((response.into_body(), attempt));
                 }
-                AttemptOutcome::Answer(..) => failure = AttemptFailure::Failed,
+                AttemptOutcome::Response(..) => failure = AttemptFailure::Failed,
                 AttemptOutcome::Failure(next, _) => failure = next,
-                AttemptOutcome::NoBackEnd | AttemptOutcome::NoRoom => return None,
+                AttemptOutcome::NoBackEnd | AttemptOutcome::NotAdmitted => return None,
             }
         }
     }
--- a/crates/stacktack-direct/src/respond.rs
+++ b/crates/stacktack-direct/src/respond.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: of back ends, and the router's own.
+//! Responses to callers: those of back ends, and the router's own.
 
 use std::time::Duration;
 
@@ -13,116 +13,124 @@
 use crate::response_deadline::ResponseDeadline;
 use crate::router::Router;
 
-/// Time after which a caller may come back when nobody could take its request.
+/// Default time after which a refused caller may come back.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Time after which a caller may come back while nothing is known yet.
+/// Time after which a caller may come back while the router is not ready.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time after which a caller may come back while the store does not answer and
-/// nothing is known: outages last seconds.
+/// Time after which a caller may come back while the router is not ready and the store does not
+/// respond: outages last seconds.
 const OUTAGE_RETRY_AFTER: Duration = Duration::from_millis(2500);
 
-/// Time after which a caller may come back while all that could serve it is drained:
-/// drains last seconds at least, and callers shorten a time that is too long for them.
+/// Time after which a caller may come back while all back ends that could serve its request are
+/// drained: drains last at least seconds, and callers shorten a time that is too long for them.
 const DRAINED_RETRY_AFTER: Duration = Duration::from_millis(2500);
 
-/// Time after which a suspect may come back whose probation nobody can take now: back ends that
-/// ended are back after 2 to 3 s, others that try it are done within one.
+/// Time after which a caller may come back while no back end can run its request on probation: a
+/// back end that crashed is back after 2 to 3 s, and another one that runs a request on probation
+/// has finished it within 1 s.
 const PROBATION_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
-/// Runs a request and answers it.
+/// Runs a request and responds to its caller.
 pub async fn respond(mut exchange: Box<Exchange>) -> Response<ResponseBody> {
     match exchange.run().await {
-        ExchangeResult::Answer(answer, attempt)
-            if promises_too_much(&exchange, answer.head.status) =>
+        ExchangeResult::Response(response, attempt)
+            if falsely_promises_not_run(&exchange, response.head.status) =>
         {
-            withhold(exchange, answer, *attempt)
+            withhold_response(exchange, response, *attempt)
         }
-        ExchangeResult::FailedAnswer(last) if promises_too_much(&exchange, last.head.status) => {
+        ExchangeResult::FailedResponse(failed)
+            if falsely_promises_not_run(&exchange, failed.head.status) =>
+        {
             refuse(&mut exchange, RefusalKind::Lost)
         }
-        ExchangeResult::Answer(answer, attempt) => pass_on(exchange, answer, *attempt),
-        ExchangeResult::FailedAnswer(last) => pass_failure_on(&mut exchange, last),
+        ExchangeResult::Response(response, attempt) => {
+            forward_response(exchange, response, *attempt)
+        }
+        ExchangeResult::FailedResponse(failed) => forward_failed_response(&mut exchange, failed),
         ExchangeResult::Refused(kind) => refuse(&mut exchange, kind),
     }
 }
 
-/// Whether a back end's status would promise a caller that a request that may run once only did
-/// not run, though the back end did not say so.
-fn promises_too_much(exchange: &Exchange, status: StatusCode) -> bool {
+/// Whether a back end's status would promise a caller that its non-idempotent request did not
+/// run, though the back end did not say so.
+fn falsely_promises_not_run(exchange: &Exchange, status: StatusCode) -> bool {
     !exchange.route.kind.is_idempotent() && exchange.router.protocol.promises_not_run(status)
 }
 
-/// Says in the place of an answer that it is uncertain whether the request ran.
-fn withhold(
+/// Replaces a response by a refusal that says that it is uncertain whether the request ran.
+fn withhold_response(
     mut exchange: Box<Exchange>,
-    answer: ForwardedResponse,
+    response: ForwardedResponse,
     attempt: Attempt,
 ) -> Response<ResponseBody> {
-    exchange.note_failure(AttemptFailure::Failed, "-");
+    exchange.record_failure(AttemptFailure::Failed, "-");
     exchange.note_good_run();
-    if matches!(answer.source, BodySource::Whole(_)) {
+    if matches!(response.source, BodySource::Buffered(_)) {
         attempt.finish();
     }
     refuse(&mut exchange, RefusalKind::Lost)
 }
 
-fn pass_on(
+fn forward_response(
     mut exchange: Box<Exchange>,
-    answer: ForwardedResponse,
+    response: ForwardedResponse,
     attempt: Attempt,
 ) -> Response<ResponseBody> {
     let seconds = exchange.elapsed().as_secs_f64();
     exchange.router.metrics.record_first_byte(seconds);
-    exchange.note_first_answer();
-    let ForwardedResponse { mut head, source } = answer;
+    exchange.record_first_response();
+    let ForwardedResponse { mut head, source } = response;
     head.headers = exchange.router.protocol.answer_headers(&head.headers);
     let body = match source {
-        BodySource::Whole(bytes) => {
+        BodySource::Buffered(bytes) => {
             exchange.note_good_run();
-            attempt.on_whole();
+            attempt.on_complete();
             attempt.finish();
             exchange.outcome = Outcome::Answered(head.status.as_u16());
-            ResponseBody::whole(bytes)
+            ResponseBody::full(bytes)
         }
-        BodySource::Coming { begun, rest } => {
+        BodySource::Streaming { buffered, rest } => {
             let status = head.status.as_u16();
-            let limit = ResponseDeadline(exchange.deadline);
-            let stream = ResponseStream::new(exchange, begun, rest, attempt, status);
+            let deadline = ResponseDeadline(exchange.deadline);
+            let stream = ResponseStream::new(exchange, buffered, rest, attempt, status);
             if stream.is_resumable() {
                 head.headers.remove(hyper::header::CONTENT_LENGTH);
             }
-            head.extensions.insert(limit);
+            head.extensions.insert(deadline);
             ResponseBody::stream(stream)
         }
     };
     Response::from_parts(head, body)
 }
 
-fn pass_failure_on(exchange: &mut Exchange, last: FailedResponse) -> Response<ResponseBody> {
-    exchange.outcome = Outcome::Answered(last.head.status.as_u16());
-    let mut head = last.head;
+fn forward_failed_response(
+    exchange: &mut Exchange,
+    failed: FailedResponse,
+) -> Response<ResponseBody> {
+    exchange.outcome = Outcome::Answered(failed.head.status.as_u16());
+    let mut head = failed.head;
     head.headers = exchange.router.protocol.answer_headers(&head.headers);
-    Response::from_parts(head, ResponseBody::whole(last.body))
+    Response::from_parts(head, ResponseBody::full(failed.body))
 }
 
 fn refuse(exchange: &mut Exchange, kind: RefusalKind) -> Response<ResponseBody> {
     exchange.outcome = Outcome::Refused(kind);
-    let usual = match kind {
+    let default_delay = match kind {
         RefusalKind::Drained => DRAINED_RETRY_AFTER,
         RefusalKind::OnProbation => PROBATION_RETRY_AFTER,
         RefusalKind::Stopping => exchange.router.until_next_serving(),
         _ => RETRY_AFTER,
     };
-    let come_back = exchange.retry_after.unwrap_or(usual);
-    let retry_after = kind.may_come_back().then_some(come_back);
+    let delay = exchange.retry_after.unwrap_or(default_delay);
+    let retry_after = kind.may_come_back().then_some(delay);
     let refusal = Refusal { kind, retry_after };
     let response = exchange
         .router
         .protocol
         .refuse(&refusal, Some(&exchange.id));
-    response.map(ResponseBody::whole)
+    response.map(ResponseBody::full)
 }
 
 /// Refuses a request that did not become an exchange.
@@ -141,13 +149,11 @@
     router.metrics.count_request(kind.word(), 0.0);
     let retry_after = early_retry_after(router, kind);
     let refusal = Refusal { kind, retry_after };
-    router
-        .protocol
-        .refuse(&refusal, id)
-        .map(ResponseBody::whole)
+    router.protocol.refuse(&refusal, id).map(ResponseBody::full)
 }
 
-/// When a caller may come back whose request was refused early.
+/// Time after which a caller may come back whose request was refused early; `None` if the refusal
+/// names no time.
 fn early_retry_after(router: &Router, kind: RefusalKind) -> Option<Duration> {
     match kind {
         RefusalKind::NotReady if router.store_lost.get() => Some(OUTAGE_RETRY_AFTER),
--- a/crates/stacktack-direct/src/response_body.rs
+++ b/crates/stacktack-direct/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way to callers: whole ones, and those still coming.
+//! Bodies of responses on their way to callers: complete ones, and streams.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,35 +20,35 @@
 use crate::attempt_timeout::ResponseProgress;
 use crate::exchange::{Exchange, Outcome};
 
-/// Time without bytes after which a resumable stream is continued elsewhere, if it may be.
-const STALL: Duration = Duration::from_millis(800);
+/// Time without bytes after which a resumable stream is resumed at another back end, if allowed.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Why an answer broke off midway; the caller's connection is closed.
+/// Why a response broke off midway; the caller's connection is closed.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// The back end's answer broke off.
-    #[error("the back end's answer broke off")]
+    /// The back end's response broke off.
+    #[error("the back end's response broke off")]
     BrokenOff,
-    /// The time that the request had is over.
-    #[error("the time that the request had is over")]
-    TimeOver,
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
+    DeadlineExceeded,
 }
 
-/// Body of an answer.
+/// Body of a response.
 pub enum ResponseBody {
-    /// All bytes are here; `None` once they are taken.
-    Whole(Option<Bytes>),
-    /// A stream under way.
+    /// All bytes; `None` once they are taken.
+    Full(Option<Bytes>),
+    /// A stream in progress.
     Stream(Box<ResponseStream>),
 }
 
 impl ResponseBody {
-    /// A body of bytes.
-    pub fn whole(bytes: Bytes) -> Self {
-        ResponseBody::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    /// A complete body.
+    pub fn full(bytes: Bytes) -> Self {
+        ResponseBody::Full(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
-    /// A stream under way.
+    /// A body that is streamed.
     pub fn stream(stream: ResponseStream) -> Self {
         ResponseBody::Stream(Box::new(stream))
     }
@@ -63,7 +63,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         match &mut *self {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
             ResponseBody::Stream(stream) => stream.poll_next(context),
@@ -71,12 +71,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, ResponseBody::Whole(None))
+        matches!(self, ResponseBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
             ResponseBody::Stream(_) => SizeHint::default(),
@@ -84,49 +84,49 @@
     }
 }
 
-type Resumed = (Box<Exchange>, Option<(Incoming, Attempt)>);
+type ResumeResult = (Box<Exchange>, Option<(Incoming, Attempt)>);
 
-enum Source {
+enum StreamState {
     /// A back end is sending.
-    Sending {
+    Receiving {
         exchange: Box<Exchange>,
         incoming: Incoming,
         attempt: Attempt,
     },
-    /// Another back end is asked to continue.
+    /// Another back end is asked to resume the stream.
     Resuming {
-        resumed: LocalBoxFuture<'static, Resumed>,
-        /// The attempt that fell silent: it goes on if nobody else continues.
-        silent: Option<(Incoming, Attempt)>,
+        resumed: LocalBoxFuture<'static, ResumeResult>,
+        /// The attempt that stalled: it is continued if no other back end resumes the stream.
+        stalled: Option<(Incoming, Attempt)>,
     },
-    /// Nothing more comes.
+    /// The stream is over.
     Ended,
 }
 
 /// A stream on its way to a caller.
 pub struct ResponseStream {
-    source: Source,
-    /// Bytes that came before the stream began; empty once they are taken.
-    begun: Bytes,
-    /// Cuts resumable streams into whole events.
+    state: StreamState,
+    /// Bytes that were buffered before streaming started; empty once they are taken.
+    buffered: Bytes,
+    /// Splits a resumable stream into complete events.
     splitter: Option<EventSplitter>,
     status: u16,
     deadline: LocalBoxFuture<'static, ()>,
-    stall: Option<Pin<Box<Sleep>>>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-enum Step {
+enum StreamStep {
     Data(Bytes),
     End,
     Broken(AttemptFailure),
-    TimeOver,
+    DeadlineExceeded,
 }
 
 impl ResponseStream {
-    /// A stream whose head is there.
+    /// A stream whose head has arrived.
     pub fn new(
         exchange: Box<Exchange>,
-        begun: Bytes,
+        buffered: Bytes,
         incoming: Incoming,
         attempt: Attempt,
         status: u16,
@@ -135,20 +135,20 @@
         let (router, end) = (exchange.router.clone(), exchange.deadline);
         let deadline = async move { router.until(end).await }.boxed_local();
         ResponseStream {
-            source: Source::Sending {
+            state: StreamState::Receiving {
                 exchange,
                 incoming,
                 attempt,
             },
-            begun,
+            buffered,
             splitter: resumable.then(EventSplitter::default),
             status,
             deadline,
-            stall: resumable.then(|| Box::pin(sleep_until(next_stall()))),
+            stall_timer: resumable.then(|| Box::pin(sleep_until(next_stall_deadline()))),
         }
     }
 
-    /// Whether another back end may continue the stream.
+    /// Whether another back end may resume the stream.
     pub fn is_resumable(&self) -> bool {
         self.splitter.is_some()
     }
@@ -158,22 +158,22 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         loop {
-            if let Source::Resuming { resumed, silent } = &mut self.source {
+            if let StreamState::Resuming { resumed, stalled } = &mut self.state {
                 let (exchange, resumed) = match resumed.poll_unpin(context) {
                     Poll::Ready(resumed) => resumed,
                     Poll::Pending => {
                         ready!(self.deadline.as_mut().poll(context));
-                        self.source = Source::Ended;
-                        return Poll::Ready(Some(Err(ResponseError::TimeOver)));
+                        self.state = StreamState::Ended;
+                        return Poll::Ready(Some(Err(ResponseError::DeadlineExceeded)));
                     }
                 };
-                let silent = silent.take();
-                if !self.go_on(exchange, resumed, silent) {
+                let stalled = stalled.take();
+                if !self.continue_with(exchange, resumed, stalled) {
                     return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
                 }
             }
             match ready!(self.poll_step(context)) {
-                Step::Data(bytes) => {
+                StreamStep::Data(bytes) => {
                     let bytes = match &mut self.splitter {
                         Some(splitter) => splitter.push(&bytes),
                         None => bytes,
@@ -182,121 +182,123 @@
                         return Poll::Ready(Some(Ok(Frame::data(bytes))));
                     }
                 }
-                Step::End => return Poll::Ready(self.end()),
-                Step::Broken(failure) => {
+                StreamStep::End => return Poll::Ready(self.complete()),
+                StreamStep::Broken(failure) => {
                     if !self.try_resume(failure) {
                         return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
                     }
                 }
-                Step::TimeOver => {
+                StreamStep::DeadlineExceeded => {
                     self.finish(Outcome::BrokenOff);
-                    return Poll::Ready(Some(Err(ResponseError::TimeOver)));
+                    return Poll::Ready(Some(Err(ResponseError::DeadlineExceeded)));
                 }
             }
         }
     }
 
-    /// Goes on with the attempt that continues the stream, else with the one that fell silent; false if
-    /// there is neither.
-    fn go_on(
+    /// Continues with the attempt that resumes the stream, else with the one that stalled; false
+    /// if there is neither.
+    fn continue_with(
         &mut self,
         mut exchange: Box<Exchange>,
         resumed: Option<(Incoming, Attempt)>,
-        silent: Option<(Incoming, Attempt)>,
+        stalled: Option<(Incoming, Attempt)>,
     ) -> bool {
         if let (Some(splitter), Some(_)) = (&mut self.splitter, &resumed) {
             splitter.discard();
         }
-        if let (None, Some((_, attempt))) = (&resumed, &silent) {
-            exchange.note_awaited_again(&attempt.back_end);
+        if let (None, Some((_, attempt))) = (&resumed, &stalled) {
+            exchange.log_awaited_again(&attempt.back_end);
         }
-        let Some((incoming, attempt)) = resumed.or(silent) else {
+        let Some((incoming, attempt)) = resumed.or(stalled) else {
             exchange.outcome = Outcome::BrokenOff;
-            self.source = Source::Ended;
+            self.state = StreamState::Ended;
             return false;
         };
-        self.source = Source::Sending {
+        self.state = StreamState::Receiving {
             exchange,
             incoming,
             attempt,
         };
-        self.reset_stall();
+        self.reset_stall_timer();
         true
     }
 
-    fn poll_step(&mut self, context: &mut Context<'_>) -> Poll<Step> {
-        if !self.begun.is_empty() {
-            return Poll::Ready(Step::Data(std::mem::take(&mut self.begun)));
+    fn poll_step(&mut self, context: &mut Context<'_>) -> Poll<StreamStep> {
+        if !self.buffered.is_empty() {
+            return Poll::Ready(StreamStep::Data(std::mem::take(&mut self.buffered)));
         }
-        let Source::Sending {
+        let StreamState::Receiving {
             exchange,
             incoming,
             attempt,
-        } = &mut self.source
+        } = &mut self.state
         else {
-            return Poll::Ready(Step::End);
+            return Poll::Ready(StreamStep::End);
         };
         match Pin::new(incoming).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 attempt.on_bytes();
-                self.reset_stall();
+                self.reset_stall_timer();
                 let bytes = frame.into_data().unwrap_or_default();
-                return Poll::Ready(Step::Data(bytes));
+                return Poll::Ready(StreamStep::Data(bytes));
+            }
+            Poll::Ready(Some(Err(_))) => {
+                return Poll::Ready(StreamStep::Broken(AttemptFailure::Broken))
             }
-            Poll::Ready(Some(Err(_))) => return Poll::Ready(Step::Broken(AttemptFailure::Broken)),
             Poll::Ready(None) => {
-                let torn = self
+                let is_cut_mid_event = self
                     .splitter
                     .as_ref()
                     .is_some_and(EventSplitter::has_partial_event);
-                return Poll::Ready(if torn {
-                    Step::Broken(AttemptFailure::Broken)
+                return Poll::Ready(if is_cut_mid_event {
+                    StreamStep::Broken(AttemptFailure::Broken)
                 } else {
-                    Step::End
+                    StreamStep::End
                 });
             }
             Poll::Pending => {}
         }
         if self.deadline.as_mut().poll(context).is_ready() {
-            return Poll::Ready(Step::TimeOver);
+            return Poll::Ready(StreamStep::DeadlineExceeded);
         }
-        if let Some(stall) = &mut self.stall {
-            while stall.as_mut().poll(context).is_ready() {
-                if exchange.leaves_silent_attempt(ResponseProgress::Begun) {
-                    return Poll::Ready(Step::Broken(AttemptFailure::TimedOut));
+        if let Some(stall_timer) = &mut self.stall_timer {
+            while stall_timer.as_mut().poll(context).is_ready() {
+                if exchange.try_abandon_attempt(ResponseProgress::Started) {
+                    return Poll::Ready(StreamStep::Broken(AttemptFailure::TimedOut));
                 }
-                stall.as_mut().reset(next_stall());
+                stall_timer.as_mut().reset(next_stall_deadline());
             }
         }
         Poll::Pending
     }
 
-    fn reset_stall(&mut self) {
-        if let Some(stall) = &mut self.stall {
-            stall.as_mut().reset(next_stall());
+    fn reset_stall_timer(&mut self) {
+        if let Some(stall_timer) = &mut self.stall_timer {
+            stall_timer.as_mut().reset(next_stall_deadline());
         }
     }
 
-    /// Continues elsewhere; false if that is not allowed.
+    /// Resumes the stream at another back end; false if that is not allowed.
     fn try_resume(&mut self, failure: AttemptFailure) -> bool {
-        let Source::Sending {
+        let StreamState::Receiving {
             mut exchange,
             incoming,
             attempt,
-        } = std::mem::replace(&mut self.source, Source::Ended)
+        } = std::mem::replace(&mut self.state, StreamState::Ended)
         else {
             return false;
         };
-        let is_silent = failure == AttemptFailure::TimedOut;
-        if is_silent {
+        let is_stalled = failure == AttemptFailure::TimedOut;
+        if is_stalled {
             attempt.on_unreachable();
         } else {
             attempt.on_failure();
         }
-        exchange.crash_probe = exchange.note_broken_run(&attempt, failure);
-        let silent = is_silent.then_some((incoming, attempt));
+        exchange.crash_probe = exchange.record_interrupted_run(&attempt, failure);
+        let stalled = is_stalled.then_some((incoming, attempt));
         let Some(splitter) = &self.splitter else {
-            exchange.note_failure(failure, "-");
+            exchange.record_failure(failure, "-");
             exchange.outcome = Outcome::BrokenOff;
             return false;
         };
@@ -305,37 +307,37 @@
             let resumed = exchange.resume(after.as_deref(), failure).await;
             (exchange, resumed)
         };
-        self.source = Source::Resuming {
+        self.state = StreamState::Resuming {
             resumed: resumed.boxed_local(),
-            silent,
+            stalled,
         };
         true
     }
 
-    fn end(&mut self) -> Option<Result<Frame<Bytes>, ResponseError>> {
+    fn complete(&mut self) -> Option<Result<Frame<Bytes>, ResponseError>> {
         let status = self.status;
         self.finish(Outcome::Answered(status));
         None
     }
 
     fn finish(&mut self, outcome: Outcome) {
-        if let Source::Sending {
+        if let StreamState::Receiving {
             mut exchange,
             attempt,
             ..
-        } = std::mem::replace(&mut self.source, Source::Ended)
+        } = std::mem::replace(&mut self.state, StreamState::Ended)
         {
             exchange.outcome = outcome;
             if matches!(outcome, Outcome::Answered(_)) {
                 exchange.note_good_run();
-                attempt.on_whole();
+                attempt.on_complete();
                 attempt.finish();
             }
         }
     }
 }
 
-/// When a stream that says nothing from now on is silent for too long.
-fn next_stall() -> Instant {
-    Instant::now() + STALL
+/// When a stream that sends nothing from now on has stalled.
+fn next_stall_deadline() -> Instant {
+    Instant::now() + STREAM_STALL_TIMEOUT
 }
--- a/crates/stacktack-direct/src/response_buffering.rs
+++ b/crates/stacktack-direct/src/response_buffering.rs
@@ -1,5 +1,5 @@
-//! Answers that are held until they are complete, so that one that breaks off
-//! can be repeated. Streams and large answers are passed on as they come.
+//! Buffers responses until they are complete, so that a request whose response breaks off can be
+//! retried. Streams and large responses are passed on as they arrive.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -10,57 +10,57 @@
 
 use crate::attempt::Attempt;
 
-/// Largest answer that is held whole, in bytes.
-const HELD_BYTES: usize = 1024 * 1024;
+/// Largest response that is buffered completely, in bytes.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// An answer that can go to the caller.
+/// A response that can go to the caller.
 pub struct ForwardedResponse {
-    /// Head.
+    /// Status and headers.
     pub head: response::Parts,
     /// Body.
     pub source: BodySource,
 }
 
-/// Where the bytes of an answer come from.
+/// Where the bytes of a response come from.
 pub enum BodySource {
-    /// All of them are here.
-    Whole(Bytes),
-    /// They are still coming.
-    Coming {
-        /// Those that came already.
-        begun: Bytes,
-        /// The others.
+    /// All of them have arrived.
+    Buffered(Bytes),
+    /// Some are still to arrive.
+    Streaming {
+        /// Bytes that have arrived.
+        buffered: Bytes,
+        /// Bytes that are still to arrive.
         rest: Incoming,
     },
 }
 
 impl ForwardedResponse {
-    /// An answer that is passed on as it comes.
-    pub fn coming(response: Response<Incoming>) -> Self {
+    /// A response that is passed on as it arrives.
+    pub fn streaming(response: Response<Incoming>) -> Self {
         let (head, rest) = response.into_parts();
-        let begun = Bytes::new();
-        let source = BodySource::Coming { begun, rest };
+        let buffered = Bytes::new();
+        let source = BodySource::Streaming { buffered, rest };
         ForwardedResponse { head, source }
     }
 
-    /// Reads an answer until it is whole or too large to be held.
+    /// Reads a response until it is complete or too large to be buffered.
     pub async fn read(
         response: Response<Incoming>,
         attempt: &Attempt,
     ) -> Result<Self, AttemptFailure> {
         let (head, mut rest) = response.into_parts();
-        let mut begun = BytesMut::new();
+        let mut buffered = BytesMut::new();
         while let Some(frame) = rest.frame().await {
             let frame = frame.map_err(|_| AttemptFailure::Broken)?;
             attempt.on_bytes();
-            begun.extend_from_slice(&frame.into_data().unwrap_or_default());
-            if begun.len() > HELD_BYTES {
-                let begun = begun.freeze();
-                let source = BodySource::Coming { begun, rest };
+            buffered.extend_from_slice(&frame.into_data().unwrap_or_default());
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                let buffered = buffered.freeze();
+                let source = BodySource::Streaming { buffered, rest };
                 return Ok(ForwardedResponse { head, source });
             }
         }
-        let source = BodySource::Whole(begun.freeze());
+        let source = BodySource::Buffered(buffered.freeze());
         Ok(ForwardedResponse { head, source })
     }
 }
--- a/crates/stacktack-direct/src/response_deadline.rs
+++ b/crates/stacktack-direct/src/response_deadline.rs
@@ -1,8 +1,8 @@
-//! Answers that their callers do not read: they end with the time of their request.
+//! Ends streamed responses that their callers do not read at the deadline of the request.
 //!
-//! An answer that is passed on as it comes is asked for its next bytes only when its caller has read
-//! those before. While a caller reads nothing, nothing else sees that the time is over, and the answer
-//! would hold its connection, its back end and its memory for as long as the caller likes.
+//! A streamed response is polled for its next bytes only when its caller has read the previous
+//! ones. While a caller reads nothing, nothing else notices that the deadline has passed, and the
+//! response would hold its connection, its back end and its memory for as long as the caller likes.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -19,64 +19,67 @@
 use crate::response_body::{ResponseBody, ResponseError};
 use crate::router::Router;
 
-/// Time after the limit of an answer in which it ends by itself while its caller reads.
-const SLACK: Duration = Duration::from_millis(200);
+/// Time after the deadline within which a response ends by itself if its caller reads it.
+const DEADLINE_SLACK: Duration = Duration::from_millis(200);
 
-/// When an answer that is passed on as it comes has to be over.
+/// When a streamed response has to be over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseDeadline(pub Time);
 
-/// The answer of one connection that is passed on as it comes, if there is one.
+/// Deadline of the response that a connection streams, if there is one.
 #[derive(Debug, Default)]
 pub(crate) struct DeadlineTracker {
-    limit: Cell<Option<Time>>,
+    deadline: Cell<Option<Time>>,
     changed: Notify,
 }
 
 impl DeadlineTracker {
-    /// Follows an answer until all of it was taken, or it broke off.
+    /// Tracks a response until its body is dropped: read completely, or broken off.
     pub fn track(self: &Rc<Self>, response: Response<ResponseBody>) -> Response<TrackedBody> {
-        let limit = response.extensions().get::<ResponseDeadline>().copied();
-        let end = limit.map(|ResponseDeadline(limit)| {
-            self.set(Some(limit));
-            AnswerEnd(self.clone())
+        let deadline = response.extensions().get::<ResponseDeadline>().copied();
+        let guard = deadline.map(|ResponseDeadline(deadline)| {
+            self.set(Some(deadline));
+            TrackingGuard(self.clone())
         });
-        response.map(|body| TrackedBody { body, _end: end })
+        response.map(|body| TrackedBody {
+            body,
+            _guard: guard,
+        })
     }
 
-    fn set(&self, limit: Option<Time>) {
-        self.limit.set(limit);
+    fn set(&self, deadline: Option<Time>) {
+        self.deadline.set(deadline);
         self.changed.notify_one();
     }
 
-    /// Resolves when an answer is under way whose time is over.
+    /// Resolves when a response is in progress whose deadline has passed.
     pub async fn overdue(&self, router: &Router) {
         loop {
-            let Some(limit) = self.limit.get() else {
+            let Some(deadline) = self.deadline.get() else {
                 self.changed.notified().await;
                 continue;
             };
             tokio::select! {
-                () = router.until(limit + SLACK) => return,
+                () = router.until(deadline + DEADLINE_SLACK) => return,
                 () = self.changed.notified() => {}
             }
         }
     }
 }
 
-/// Ends the following of an answer.
-struct AnswerEnd(Rc<DeadlineTracker>);
+/// Ends the tracking of a response when dropped.
+struct TrackingGuard(Rc<DeadlineTracker>);
 
-impl Drop for AnswerEnd {
+impl Drop for TrackingGuard {
     fn drop(&mut self) {
         self.0.set(None);
     }
 }
 
-/// Body of an answer that is followed.
+/// Body of a tracked response.
 pub(crate) struct TrackedBody {
     body: ResponseBody,
-    _end: Option<AnswerEnd>,
+    _guard: Option<TrackingGuard>,
 }
 
 impl Body for TrackedBody {
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: choice, connection, request, head of the answer.
+//! One attempt of a request: choice, connection, request, head of the response.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,26 +21,26 @@
 use crate::ports::ForwardOrder;
 use crate::router::pool_name;
 
-/// Longest time for a connection to a back end to come up.
-const CONNECT_LIMIT: Duration = Duration::from_millis(150);
+/// Maximum time for connecting to a back end.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time in which an overloaded back end turns a new connection away.
-const TURN_AWAY: Duration = Duration::from_millis(3);
+/// Time within which an overloaded back end resets a new connection.
+const OVERLOAD_RESET_WAIT: Duration = Duration::from_millis(3);
 
-/// Objectives after which an attempt without an answer is left for another one, where the
-/// request may be repeated.
-const SILENCE_OBJECTIVES: u32 = 2;
+/// Time without the head of a response, in latency objectives of the route, after which an
+/// attempt may be abandoned for another one, if the request may be retried.
+const HEAD_TIMEOUT_OBJECTIVES: u32 = 2;
 
-/// Time after which it is left at the earliest: objectives may be of no time.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(100);
+/// Minimum time before an attempt is abandoned, since a latency objective may be zero.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest body of a failed answer that is kept, in bytes.
-const STORED_ANSWER: usize = 1024 * 1024;
+/// Largest body of a failed response that is kept, in bytes.
+const MAX_FAILED_RESPONSE_BYTES: usize = 1024 * 1024;
 
 impl Exchange {
-    /// One attempt: choice, connection, request, head of the answer.
+    /// Makes one attempt: choice, connection, request, head of the response.
     pub(crate) async fn attempt(&mut self, resume_after: Option<&str>) -> AttemptOutcome {
-        let under_way = self.is_under_way(ResponseProgress::of(resume_after));
+        let stream_in_progress = self.is_stream_in_progress(ResponseProgress::of(resume_after));
         let treatment = self.treatment();
         if treatment == Treatment::SetAside {
             return AttemptOutcome::NoBackEnd;
@@ -53,15 +53,15 @@
         if treatment == Treatment::Probation && !on_probation {
             return AttemptOutcome::NoBackEnd;
         }
-        let limit = (!under_way).then(|| self.slot_limit());
+        let limit = (!stream_in_progress).then(|| self.slot_limit());
         let Some(choice) = probation.or_else(|| self.select(limit)) else {
             return AttemptOutcome::NoBackEnd;
         };
-        if let Some(cause) = self.lacks_room(&choice, under_way) {
-            self.turn_away(&choice, cause);
-            return AttemptOutcome::NoRoom;
+        if let Some(cause) = self.admission_refusal(&choice, stream_in_progress) {
+            self.refuse_admission(&choice, cause);
+            return AttemptOutcome::NotAdmitted;
         }
-        self.take_in();
+        self.record_admission();
         let back_end = choice.back_end.clone();
         let fetch_from = self.fetch_source(&back_end);
         self.tried.push(back_end.clone());
@@ -74,26 +74,26 @@
         if on_probation {
             attempt.put_on_probation();
         }
-        self.note_choice(&choice, on_probation, fetch_from);
-        let end = self
+        self.record_choice(&choice, on_probation, fetch_from);
+        let head = self
             .exchange_head(&mut attempt, resume_after, fetch_from)
             .await;
-        match end {
+        match head {
             Ok(response) => self.classify(response, attempt).await,
             Err(failure) => {
                 match failure {
                     AttemptFailure::Broken => attempt.on_failure(),
-                    // It says nothing of how it serves.
+                    // Leaving says nothing about how the back end serves.
                     AttemptFailure::BackEndLeft => {}
                     _ => attempt.on_unreachable(),
                 }
-                self.crash_probe = self.note_broken_run(&attempt, failure);
+                self.crash_probe = self.record_interrupted_run(&attempt, failure);
                 AttemptOutcome::Failure(failure, None)
             }
         }
     }
 
-    fn note_choice(&self, choice: &Choice, on_probation: bool, fetch_from: Option<SocketAddr>) {
+    fn record_choice(&self, choice: &Choice, on_probation: bool, fetch_from: Option<SocketAddr>) {
         if let Some(age) = choice.load_age {
             self.router.metrics.record_load_age(age.as_secs_f64());
         }
@@ -112,7 +112,7 @@
             choice.selection.mean,
             choice.pool_fill_text(),
             choice.selection.rank,
-            choice.standing.as_str(),
+            choice.health.as_str(),
             fetch_from.map_or_else(|| "-".to_owned(), |holder| holder.to_string()),
             self.version,
             self.router.directory_changed.get(),
@@ -121,7 +121,7 @@
         );
     }
 
-    /// Opens or takes a connection, sends, waits for the head.
+    /// Opens or reuses a connection, sends the request and waits for the head of the response.
     async fn exchange_head(
         &mut self,
         attempt: &mut Attempt,
@@ -129,11 +129,11 @@
         fetch_from: Option<SocketAddr>,
     ) -> Result<Response<Incoming>, AttemptFailure> {
         let address = attempt.address;
-        // A second try takes no chances: the resting connection there may be stale, or
-        // have a surplus answer to come, like the one that spoiled the first. Both
-        // tries crossed, and callers got 502, where all back ends sent surplus answers.
-        let may_rest = self.route.kind.is_idempotent() && self.history.sends == 0;
-        let mut resting = if may_rest {
+        // A retry does not reuse an idle connection: that may be stale, or have a surplus
+        // response pending, like the one that failed the first attempt. With reuse, both attempts
+        // got mismatched responses, and callers a 502, when all back ends sent surplus responses.
+        let may_reuse = self.route.kind.is_idempotent() && self.history.sends == 0;
+        let mut idle_connection = if may_reuse {
             let mut connections = self.router.connections.borrow_mut();
             connections.take(address, Instant::now())
         } else {
@@ -141,20 +141,22 @@
         };
         let progress = ResponseProgress::of(resume_after);
         loop {
-            let (mut connection, rested) = match resting.take() {
+            let (mut connection, is_reused) = match idle_connection.take() {
                 Some(connection) => (connection, true),
                 None => match self.open_connection(address).await {
                     Ok(connection) => (connection, false),
                     Err(error) => {
                         if error.is_refused() {
-                            self.router.on_refused(&attempt.back_end, attempt.life);
+                            self.router
+                                .on_connection_refused(&attempt.back_end, attempt.instance);
                         }
                         return Err(AttemptFailure::Unreached);
                     }
                 },
             };
-            // A connection takes up to 150 ms: news that came meanwhile counts.
-            if !self.router.may_send(&attempt.back_end, attempt.life) {
+            // Connecting takes up to 150 ms: the back end may have stopped accepting work
+            // meanwhile.
+            if !self.router.may_send(&attempt.back_end, attempt.instance) {
                 return Err(AttemptFailure::BackEndLeft);
             }
             let request = self.back_end_request(attempt, resume_after, fetch_from);
@@ -169,7 +171,7 @@
                 }
                 Err(SendError::NotWritten) => {
                     self.attempt_in_flight = false;
-                    if !rested {
+                    if !is_reused {
                         return Err(AttemptFailure::Unreached);
                     }
                 }
@@ -179,17 +181,18 @@
         }
     }
 
-    /// What may run once waits a moment for the connection to be turned away.
+    /// Connects. A request that may run only once waits briefly in case an overloaded back end
+    /// resets the connection: that proves that nothing ran.
     async fn open_connection(&self, address: SocketAddr) -> Result<ClientConnection, ConnectError> {
         if self.route.kind.is_idempotent() {
-            ClientConnection::open(address, CONNECT_LIMIT).await
+            ClientConnection::open(address, CONNECT_TIMEOUT).await
         } else {
-            ClientConnection::open_accepted(address, CONNECT_LIMIT, TURN_AWAY).await
+            ClientConnection::open_accepted(address, CONNECT_TIMEOUT, OVERLOAD_RESET_WAIT).await
         }
     }
 
-    /// Whether the request may be sent again when the next attempt fails.
-    pub(crate) fn may_repeat_next(&self) -> bool {
+    /// Whether the request may be sent again if the next attempt fails.
+    pub(crate) fn may_retry_after_next(&self) -> bool {
         let next = AttemptHistory {
             sends: self.history.sends + 1,
             may_have_run: true,
@@ -198,8 +201,8 @@
         next.may_send_again(self.route.kind, self.route.max_attempts)
     }
 
-    /// Waits for the head of an answer, until that takes so long that the attempt is left for another
-    /// one or the request's time is over.
+    /// Waits for the head of the response until the attempt is abandoned for another one, or the
+    /// deadline of the request has passed.
     async fn await_head(
         &mut self,
         head: impl Future<Output = Result<Response<Incoming>, SendError>>,
@@ -207,21 +210,21 @@
     ) -> Result<Response<Incoming>, SendError> {
         let mut head = pin!(head);
         loop {
-            if let Ok(ended) = timeout(self.head_patience(), &mut head).await {
-                return ended;
+            if let Ok(result) = timeout(self.head_timeout(), &mut head).await {
+                return result;
             }
-            if self.remaining().is_zero() || self.leaves_silent_attempt(progress) {
+            if self.remaining().is_zero() || self.try_abandon_attempt(progress) {
                 return Err(SendError::Silent);
             }
         }
     }
 
-    /// Time without the head of an answer after which its attempt may be left.
-    fn head_patience(&self) -> Duration {
+    /// Time without the head of a response after which the attempt may be abandoned.
+    fn head_timeout(&self) -> Duration {
         let remaining = self.remaining();
-        if self.may_repeat_next() {
-            let silence = self.route.objective * SILENCE_OBJECTIVES;
-            remaining.min(silence.max(SHORTEST_SILENCE))
+        if self.may_retry_after_next() {
+            let timeout_by_objective = self.route.objective * HEAD_TIMEOUT_OBJECTIVES;
+            remaining.min(timeout_by_objective.max(MIN_HEAD_TIMEOUT))
         } else {
             remaining
         }
@@ -253,51 +256,54 @@
         request
     }
 
-    /// What the head of an answer proves.
+    /// Derives the outcome of an attempt from the head of its response.
     async fn classify(
         &mut self,
         response: Response<Incoming>,
         mut attempt: Attempt,
     ) -> AttemptOutcome {
         let (head, body) = response.into_parts();
-        let told = self.router.protocol.read_answer(&head);
-        attempt.on_head(&told);
-        let own = told.id.as_deref() == Some(self.id.as_str());
-        let missing = told.id.is_none() && !head.status.is_success();
-        if !own && !missing {
+        let response_info = self.router.protocol.read_answer(&head);
+        attempt.on_head(&response_info);
+        let is_own = response_info.id.as_deref() == Some(self.id.as_str());
+        let is_id_missing = response_info.id.is_none() && !head.status.is_success();
+        if !is_own && !is_id_missing {
             attempt.on_failure();
             return AttemptOutcome::Failure(AttemptFailure::MismatchedResponse, None);
         }
-        if told.other_instance || head.status == StatusCode::MISDIRECTED_REQUEST {
+        if response_info.other_instance || head.status == StatusCode::MISDIRECTED_REQUEST {
             attempt.on_other_instance();
             return AttemptOutcome::Failure(AttemptFailure::OtherInstance, None);
         }
-        attempt.note_taken(!told.not_run);
-        if told.not_run {
+        attempt.record_acceptance(!response_info.not_run);
+        if response_info.not_run {
             return AttemptOutcome::Failure(AttemptFailure::Rejected, None);
         }
         if head.status.is_server_error() {
             attempt.on_failure();
-            let collected = Limited::new(body, STORED_ANSWER).collect().await;
+            let collected = Limited::new(body, MAX_FAILED_RESPONSE_BYTES)
+                .collect()
+                .await;
             return match collected {
                 Ok(body) => {
-                    let stored = FailedResponse {
+                    let failed_response = FailedResponse {
                         head,
                         body: body.to_bytes(),
                     };
                     attempt.finish();
                     self.note_good_run();
-                    AttemptOutcome::Failure(AttemptFailure::Failed, Some(stored))
+                    AttemptOutcome::Failure(AttemptFailure::Failed, Some(failed_response))
                 }
                 Err(_) => {
-                    self.crash_probe = self.note_broken_run(&attempt, AttemptFailure::Broken);
+                    self.crash_probe =
+                        self.record_interrupted_run(&attempt, AttemptFailure::Broken);
                     AttemptOutcome::Failure(AttemptFailure::Broken, None)
                 }
             };
         }
-        attempt.on_good_answer();
-        self.record_place(&attempt.back_end);
-        AttemptOutcome::Answer(Response::from_parts(head, body), attempt)
+        attempt.on_success();
+        self.record_prefix_location(&attempt.back_end);
+        AttemptOutcome::Response(Response::from_parts(head, body), attempt)
     }
 }
 
