--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -1,4 +1,4 @@
-//! From a caller's request head to an exchange, or an early refusal.
+//! Admits a caller's request as an exchange, or refuses it early.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 use crate::respond::{refuse_early, respond};
 use crate::router::{Phase, Router};
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn handle_request(
     router: Rc<Router>,
     request: Request<Incoming>,
@@ -33,14 +33,14 @@
     let caller = router.protocol.read_request(&head);
     match admit(&router, started, head, body, caller).await {
         Ok(exchange) => respond(exchange).await,
-        Err(RefusedEarly { kind, id, version }) => {
+        Err(EarlyRefusal { kind, id, version }) => {
             refuse_early(&router, kind, id.as_deref(), version)
         }
     }
 }
 
-/// A request that was refused before it became an exchange.
-struct RefusedEarly {
+/// Refusal of a request before it becomes an exchange.
+struct EarlyRefusal {
     kind: RefusalKind,
     id: Option<String>,
     version: u64,
@@ -52,11 +52,11 @@
     head: request::Parts,
     body: Incoming,
     caller: CallerRequest,
-) -> Result<Box<Exchange>, RefusedEarly> {
+) -> Result<Box<Exchange>, EarlyRefusal> {
     let known = router.configuration.borrow().clone();
     let version = known.as_ref().map_or(0, |known| known.version);
     let id = caller.id.clone();
-    let refused = |kind| RefusedEarly {
+    let refused = |kind| EarlyRefusal {
         kind,
         id: id.clone(),
         version,
@@ -72,20 +72,20 @@
     let tenant = find_tenant(&configuration, &route, &caller)
         .map_err(|()| refused(RefusalKind::UnknownKey))?;
     let id_text = id.clone().ok_or_else(|| refused(RefusalKind::Malformed))?;
-    let patience = caller
+    let timeout = caller
         .patience
         .map_or(route.timeout, |time| time.min(route.timeout));
-    let limit = started + patience;
-    if !router.may_admit(&id_text, &route, limit) {
+    let deadline = started + timeout;
+    if !router.may_admit(&id_text, &route, deadline) {
         return Err(refused(RefusalKind::Stopping));
     }
-    // A process that stops waits for it.
-    let arriving = Counted::begin(router.clone(), |router| &router.requests_being_read);
+    // A process that stops waits for the body.
+    let being_read = Counted::begin(router.clone(), |router| &router.requests_being_read);
     let limited = Limited::new(body, configuration.limits.body_bytes);
     let collected = tokio::select! {
         biased;
         collected = limited.collect() => Some(collected),
-        () = router.until_response_due(limit) => None,
+        () = router.until_response_due(deadline) => None,
     };
     let body = match collected {
         Some(Ok(body)) => body.to_bytes(),
@@ -93,11 +93,11 @@
             return Err(refused(RefusalKind::BodyTooLarge))
         }
         Some(Err(_)) => return Err(refused(RefusalKind::Malformed)),
-        None if router.now() < limit => return Err(refused(RefusalKind::Stopping)),
+        None if router.now() < deadline => return Err(refused(RefusalKind::Stopping)),
         None => return Err(refused(RefusalKind::BodyTimeout)),
     };
-    // A body may come slowly: what was time enough at the head may not be any more.
-    if !router.may_admit(&id_text, &route, limit) {
+    // The body may have arrived slowly, and too little time may be left by now.
+    if !router.may_admit(&id_text, &route, deadline) {
         return Err(refused(RefusalKind::Stopping));
     }
     let digest = OnceCell::new();
@@ -111,14 +111,14 @@
     }
     let target = route.draw_target(rand::rng().next_u32());
     if treatment < Treatment::Probation {
-        // A suspect gets no repeats and earns none.
+        // A request on probation gets no retries and earns none.
         router.count_request(&route.targets[target].back_ends);
     }
     router
         .requests_in_flight
         .set(router.requests_in_flight.get() + 1);
-    drop(arriving);
-    let taken_as_last = router.count_admission_after_deregistration();
+    drop(being_read);
+    let admitted_after_deregistration = router.count_admission_after_deregistration();
     let run = router.begin_run(&route.name);
     Ok(Box::new(Exchange {
         router: router.clone(),
@@ -132,8 +132,8 @@
         version,
         started,
         run,
-        taken_as_last,
-        limit,
+        taken_as_last: admitted_after_deregistration,
+        limit: deadline,
         digest,
         look: None,
         ledger: AttemptHistory::default(),
--- a/crates/stacktack-direct/src/load_summary.rs
+++ b/crates/stacktack-direct/src/load_summary.rs
@@ -1,4 +1,4 @@
-//! What a router believes of the loads of a pool, for logs.
+//! Summary of the loads of a pool, for logs.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,33 +6,33 @@
 use stacktack_core::direct::back_ends::back_end::BackEnd;
 use stacktack_core::time::Time;
 
-/// Age from which a load is stale: most of the requests that it counts have ended. Answers
-/// of language models take about as long.
-const STALE: Duration = Duration::from_secs(1);
+/// Age from which a reported load is stale: most of the requests that it counts have ended, because
+/// responses of language models take about as long.
+const STALE_LOAD_AGE: Duration = Duration::from_secs(1);
 
-/// What is believed of the loads of a pool.
+/// Loads of a pool, as far as known.
 #[derive(Debug, Default)]
 pub struct LoadSummary {
-    /// Back ends.
+    /// Number of back ends.
     back_ends: usize,
-    /// Those that told their load of late.
-    pub known: usize,
-    /// Requests at them, as told and counted.
+    /// Number of back ends whose load was reported recently.
+    pub reported: usize,
+    /// Sum of their estimated loads, in requests.
     requests: f64,
-    /// Those whose load was told long ago.
+    /// Number of back ends whose reported load is stale.
     pub stale: usize,
-    /// The highest load among these: its back end, requests and age.
+    /// The highest load among the stale ones: its back end, requests and age.
     highest_stale: Option<(String, f64, Duration)>,
 }
 
 impl LoadSummary {
-    /// The summary of a pool's members.
+    /// Summary of the members of a pool.
     pub fn of<'a>(members: impl Iterator<Item = &'a BackEnd>, now: Time) -> Self {
         let mut summary = LoadSummary::default();
         for member in members {
             summary.back_ends += 1;
-            if let Some(told) = member.load.reported(now) {
-                summary.add(member, now.since(told.at), now);
+            if let Some(report) = member.load.reported(now) {
+                summary.add(member, now.since(report.at), now);
             }
         }
         summary
@@ -40,9 +40,9 @@
 
     fn add(&mut self, member: &BackEnd, age: Duration, now: Time) {
         let load = member.load.estimate(now);
-        self.known += 1;
+        self.reported += 1;
         self.requests += load;
-        if age < STALE {
+        if age < STALE_LOAD_AGE {
             return;
         }
         self.stale += 1;
@@ -55,11 +55,11 @@
 
 impl fmt::Display for LoadSummary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mean = self.requests / self.known.max(1) as f64;
+        let mean = self.requests / self.reported.max(1) as f64;
         write!(
             formatter,
             "back_ends={} known={} mean={mean:.1} stale={}",
-            self.back_ends, self.known, self.stale
+            self.back_ends, self.reported, self.stale
         )?;
         match &self.highest_stale {
             Some((id, load, age)) => write!(
--- a/crates/stacktack-direct/src/metrics.rs
+++ b/crates/stacktack-direct/src/metrics.rs
@@ -1,40 +1,40 @@
-//! Counters and latency histograms of a direct router.
+//! Counters, gauges and histograms of a direct router.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 use opentelemetry::KeyValue;
 
-/// Instruments of one process.
+/// Metric instruments of one process.
 pub struct DirectMetrics {
     requests: Counter<u64>,
     attempts: Counter<u64>,
     retries: Counter<u64>,
     store_calls: Counter<u64>,
-    returns: Counter<u64>,
-    calm: Counter<u64>,
+    returning_callers: Counter<u64>,
+    admitted_without_refusals: Counter<u64>,
     drained_zones: Gauge<u64>,
     stale_loads: Gauge<u64>,
-    ended: Counter<u64>,
-    suspended: Histogram<f64>,
+    crashes: Counter<u64>,
+    suspensions: Histogram<f64>,
     quarantine: Gauge<u64>,
     first_byte: Histogram<f64>,
-    whole: Histogram<f64>,
+    complete_response: Histogram<f64>,
     load_age: Histogram<f64>,
     directory_age: Histogram<f64>,
-    lag: Histogram<f64>,
+    timer_lag: Histogram<f64>,
 }
 
-/// Bounds of the latency histograms, in seconds.
-const LATENCY_BOUNDS: [f64; 10] = [0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.5, 10.0];
+/// Bucket bounds of the histograms, in seconds.
+const BUCKET_BOUNDS_SECONDS: [f64; 10] = [0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.5, 10.0];
 
 impl DirectMetrics {
     /// Registers the instruments.
     pub fn new(meter: &Meter) -> Self {
-        let latency = |name, description| {
+        let histogram = |name, description| {
             meter
                 .f64_histogram(name)
                 .with_unit("s")
                 .with_description(description)
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
                 .build()
         };
         DirectMetrics {
@@ -54,11 +54,11 @@
                 .u64_counter("stacktack_store_calls")
                 .with_description("Calls to the store by what is asked for and why")
                 .build(),
-            returns: meter
+            returning_callers: meter
                 .u64_counter("stacktack_returns")
                 .with_description("Callers that came back after a refusal, by outcome")
                 .build(),
-            calm: meter
+            admitted_without_refusals: meter
                 .u64_counter("stacktack_calm_requests")
                 .with_description(
                     "Requests taken while nobody was refused, by whether they count as returned",
@@ -72,11 +72,11 @@
                 .u64_gauge("stacktack_stale_loads")
                 .with_description("Back ends whose believed load was told over a second ago")
                 .build(),
-            suspended: latency(
+            suspensions: histogram(
                 "stacktack_suspended",
                 "Times for which the machine was suspended",
             ),
-            ended: meter
+            crashes: meter
                 .u64_counter("stacktack_ended_back_ends")
                 .with_description("Back ends that ended while they ran requests, by what showed it")
                 .build(),
@@ -84,60 +84,61 @@
                 .u64_gauge("stacktack_quarantine")
                 .with_description("Requests under which back ends ended, by how they are treated")
                 .build(),
-            first_byte: latency("stacktack_first_byte", "Time to the head of the answer"),
-            whole: latency("stacktack_whole_answer", "Time to the end of the answer"),
-            lag: latency(
+            first_byte: histogram("stacktack_first_byte", "Time to the head of the answer"),
+            complete_response: histogram("stacktack_whole_answer", "Time to the end of the answer"),
+            timer_lag: histogram(
                 "stacktack_timer_lag",
                 "Lateness of the process's own timers",
             ),
-            directory_age: latency(
+            directory_age: histogram(
                 "stacktack_directory_age",
                 "Age of what is known of the directory at a choice",
             ),
-            load_age: latency(
+            load_age: histogram(
                 "stacktack_load_age",
                 "Age of the load that decided a choice",
             ),
         }
     }
 
-    /// Counts the end of a request.
-    pub fn count_request(&self, outcome: &'static str, whole_seconds: f64) {
+    /// Counts a finished request by its outcome, and records how long it took.
+    pub fn count_request(&self, outcome: &'static str, seconds: f64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
-        self.whole.record(whole_seconds, &[]);
+        self.complete_response.record(seconds, &[]);
     }
 
-    /// Counts the end of an attempt.
+    /// Counts a finished attempt by how it ended.
     pub fn count_attempt(&self, end: &'static str) {
         self.attempts.add(1, &[KeyValue::new("end", end)]);
     }
 
-    /// Counts the end of a request whose caller came back after a refusal.
+    /// Counts a finished request whose caller had returned after a refusal.
     pub fn count_returning_caller(&self, outcome: &'static str) {
-        self.returns.add(1, &[KeyValue::new("outcome", outcome)]);
+        self.returning_callers
+            .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Records how many zones are drained.
+    /// Records the number of drained zones.
     pub fn record_drained_zones(&self, zones: usize) {
         self.drained_zones.record(zones as u64, &[]);
     }
 
-    /// Records how many believed loads are stale.
+    /// Records the number of back ends whose reported load is stale.
     pub fn record_stale_loads(&self, back_ends: usize) {
         self.stale_loads.record(back_ends as u64, &[]);
     }
 
-    /// Records a suspension of the machine.
+    /// Records how long the machine was suspended.
     pub fn record_suspension(&self, seconds: f64) {
-        self.suspended.record(seconds, &[]);
+        self.suspensions.record(seconds, &[]);
     }
 
-    /// Counts the end of a back end.
+    /// Counts a crash of a back end by what showed it.
     pub fn count_crash(&self, cause: &'static str) {
-        self.ended.add(1, &[KeyValue::new("cause", cause)]);
+        self.crashes.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Records how many requests run on probation and how many are set aside.
+    /// Records the number of requests on probation and of those set aside.
     pub fn record_quarantine(&self, on_probation: usize, set_aside: usize) {
         let counts = [("probation", on_probation), ("set_aside", set_aside)];
         for (treatment, count) in counts {
@@ -146,18 +147,19 @@
         }
     }
 
-    /// Counts a request that was taken while nobody was refused: few of these may count as
-    /// returned.
+    /// Counts a request that was admitted without recent refusals. No caller is returning then, so
+    /// that `returned` has to be false for nearly all of them.
     pub fn count_admitted_without_refusals(&self, returned: bool) {
-        self.calm.add(1, &[KeyValue::new("returned", returned)]);
+        self.admitted_without_refusals
+            .add(1, &[KeyValue::new("returned", returned)]);
     }
 
-    /// Counts a wish for a repeated send.
+    /// Counts a retry that was asked for, by whether the budget allowed it.
     pub fn count_retry(&self, allowed: bool) {
         self.retries.add(1, &[KeyValue::new("allowed", allowed)]);
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store by what is asked for and why.
     pub fn count_store_call(&self, source: &'static str, cause: &'static str) {
         let labels = [
             KeyValue::new("source", source),
@@ -167,21 +169,21 @@
     }
 
     /// Records how late a timer of the process fired.
-    pub fn record_lag(&self, seconds: f64) {
-        self.lag.record(seconds, &[]);
+    pub fn record_timer_lag(&self, seconds: f64) {
+        self.timer_lag.record(seconds, &[]);
     }
 
-    /// Records the age of the load that decided a choice.
+    /// Records the age of the load on which the choice of a back end is based.
     pub fn record_load_age(&self, seconds: f64) {
         self.load_age.record(seconds, &[]);
     }
 
-    /// Records the age of what is known of the directory at a choice.
+    /// Records the age of the known directory when a back end is chosen.
     pub fn record_directory_age(&self, seconds: f64) {
         self.directory_age.record(seconds, &[]);
     }
 
-    /// Records the time to the head of an answer.
+    /// Records the time until the head of a response can go to the caller.
     pub fn record_first_byte(&self, seconds: f64) {
         self.first_byte.record(seconds, &[]);
     }
--- a/crates/stacktack-direct/src/quarantine.rs
+++ b/crates/stacktack-direct/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end back ends: how this router treats them, and what it says of that.
+//! Quarantine at this router: how requests are treated under which back ends crashed.
 
 use bytes::Bytes;
 use hyper::http::request;
@@ -14,12 +14,15 @@
 use crate::exchange::Exchange;
 use crate::router::Router;
 
-/// A back end whose load is above this multiple of the mean, and this many requests, gets
-/// nobody who is only watched: below the load bound with room for what is on its way.
+/// Multiple of the mean load which, with [`WATCHED_SLACK_REQUESTS`] added, bounds the load up to
+/// which a back end gets watched requests. This stays below the load bound, with room for requests
+/// that are on their way.
 const WATCHED_LOAD_FACTOR: f64 = 1.2;
-const WATCHED_LOAD_SLACK: f64 = 2.0;
 
-/// Which request a head, a body and a caller make.
+/// Requests that are added to the multiple of the mean load.
+const WATCHED_SLACK_REQUESTS: f64 = 2.0;
+
+/// Digest that identifies a request by its head, its body and its caller.
 pub(crate) fn request_digest(
     head: &request::Parts,
     body: &Bytes,
@@ -38,8 +41,8 @@
 }
 
 impl Router {
-    /// How a request is to be treated. It is not even told apart from others while nothing
-    /// speaks against any: a digest of 100 kB takes 0.08 ms (release build, mean of 200).
+    /// How a request is to be treated. Its digest is not computed while the quarantine is empty: a
+    /// digest of 100 kB takes 0.08 ms.
     pub(crate) fn treatment(&self, digest: impl FnOnce() -> RequestDigest) -> Treatment {
         if self.quarantine.borrow().is_empty() {
             return Treatment::Usual;
@@ -49,7 +52,8 @@
         self.quarantine.borrow_mut().treatment(digest, now)
     }
 
-    /// Says that a request is treated otherwise from now on, and by whose word.
+    /// Logs a change of treatment and updates the metrics; `source` is a fixed word for what caused
+    /// the change. Wakes requests in flight when one is set aside.
     pub(crate) fn on_treatment_change(
         &self,
         change: Option<TreatmentChange>,
@@ -58,9 +62,9 @@
         let Some(change) = change else {
             return;
         };
-        // That others watch a request changes little here, and there may be dozens for each end.
-        let matters = change.after.max(change.before) > Treatment::Watched;
-        let level = match source == "peer" && !matters {
+        // Requests that a peer only watches change little here, and one crash may add dozens.
+        let is_serious = change.after.max(change.before) > Treatment::Watched;
+        let level = match source == "peer" && !is_serious {
             true => log::Level::Debug,
             false => log::Level::Info,
         };
@@ -74,7 +78,7 @@
             change.crashes,
             change.probation_crashes,
         );
-        if matters {
+        if is_serious {
             let quarantine = self.quarantine.borrow();
             self.metrics.record_quarantine(
                 quarantine.on_probation_count(),
@@ -82,15 +86,15 @@
             );
         }
         if change.after == Treatment::SetAside {
-            self.verdicts.send_modify(|verdicts| *verdicts += 1);
+            self.verdict_count.send_modify(|count| *count += 1);
         }
     }
 
     /// Waits until a request is set aside.
     pub(crate) async fn until_set_aside(&self, digest: RequestDigest) {
-        let mut verdicts = self.verdicts.subscribe();
+        let mut verdict_count = self.verdict_count.subscribe();
         while self.treatment(|| digest) != Treatment::SetAside {
-            if verdicts.changed().await.is_err() {
+            if verdict_count.changed().await.is_err() {
                 return std::future::pending().await;
             }
         }
@@ -98,19 +102,20 @@
 }
 
 impl Exchange {
-    /// Which request it is, whatever id this try of it has.
+    /// Digest that identifies the request, whatever id this try of it has.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self
             .digest
             .get_or_init(|| request_digest(&self.head, &self.body, self.tenant.as_deref()))
     }
 
-    /// How it is to be treated now.
+    /// How the request is to be treated now.
     pub(crate) fn treatment(&self) -> Treatment {
         self.router.treatment(|| self.digest())
     }
 
-    /// A back end ran it to an end and lives: whatever ended under it was not its doing.
+    /// A back end completed the request without crashing: the request did not cause the crashes
+    /// that are recorded against it.
     pub(crate) fn on_successful_run(&self) {
         if self.router.quarantine.borrow().is_empty() {
             return;
@@ -125,31 +130,34 @@
         self.router.on_treatment_change(change, "good_run");
     }
 
-    /// The back end for a request on probation; `None` while none that may take it can.
+    /// The back end for a request on probation, or for a watched one; `None` while no back end that
+    /// its digest selects can take it.
     pub(crate) fn select_for_probation(&self, treatment: Treatment) -> Option<Choice> {
         let router = &self.router;
-        // With those that were tried: the digest names its back ends among all of the pool.
+        // Includes back ends that were tried: the digest selects among all of the pool.
         let candidates = router.candidates(self.pool(), &[], self.risk(), None);
         let mean = candidates.mean_load();
-        let most = WATCHED_LOAD_FACTOR * mean + WATCHED_LOAD_SLACK;
+        let max_watched_load = WATCHED_LOAD_FACTOR * mean + WATCHED_SLACK_REQUESTS;
         let chosen = select_for_probation(&candidates.list, self.digest(), |candidate| {
             let id = &candidates.ids[candidate.index];
             self.is_free_for_probation(id)
-                && (treatment == Treatment::Probation || candidate.load <= most)
+                && (treatment == Treatment::Probation || candidate.load <= max_watched_load)
         })?;
         Some(self.probation_choice(&candidates, chosen.index, mean))
     }
 
-    /// Whether a back end was not tried yet, runs no other suspect and did not end just now.
+    /// Whether a back end was not tried yet, runs no other request on probation and has not just
+    /// crashed.
     fn is_free_for_probation(&self, back_end: &str) -> bool {
         let router = &self.router;
         let back_ends = router.back_ends.borrow();
-        let life = back_ends
+        let instance = back_ends
             .get(back_end)
             .map(|known| InstanceId::of(&known.entry));
-        let has_ended = life.is_some_and(|life| router.interrupted_runs.borrow().has_ended(life));
+        let has_crashed =
+            instance.is_some_and(|instance| router.interrupted_runs.borrow().has_ended(instance));
         let is_tried = self.tried.iter().any(|tried| tried == back_end);
-        !has_ended && !is_tried && !router.back_ends_on_probation.borrow().contains(back_end)
+        !has_crashed && !is_tried && !router.back_ends_on_probation.borrow().contains(back_end)
     }
 
     fn probation_choice(&self, candidates: &Candidates, index: usize, mean: f64) -> Choice {
--- a/crates/stacktack-direct/src/rollouts.rs
+++ b/crates/stacktack-direct/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs at this router: what it takes and tells, which version a request may go to, how
-//! answers are counted, and what it says of all that.
+//! Roll-outs at this router: applies orders and gossip, decides which version a request may be
+//! sent to, counts responses by version, and logs the changes.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use crate::ports::{RefusedOrder, RolloutOrderNews};
 use crate::router::Router;
 
-/// Names of refused orders that are remembered, so that each is logged once.
-const MOST_REFUSED: usize = 64;
+/// Maximum number of refused orders that are remembered, so that each is logged only once.
+const MAX_REFUSED_ORDERS: usize = 64;
 
 impl Router {
-    /// Serves roll-outs from now on, where a bound is set.
+    /// Enables roll-outs. Orders are refused while no exposure bound is set.
     pub fn enable_rollouts(&self) -> Result<(), ChartError> {
         let incarnation = self.peers.borrow().incarnation();
         let rollouts = Rollouts::new(incarnation, self.bounds().exposure)?;
@@ -31,44 +31,44 @@
         Ok(())
     }
 
-    /// Takes what the operator ordered.
-    pub fn apply_rollout_orders(&self, news: &RolloutOrderNews) {
+    /// Applies the operator's orders, read from the store.
+    pub fn apply_rollout_orders(&self, update: &RolloutOrderNews) {
         let now = self.now();
-        for order in &news.orders {
+        for order in &update.orders {
             let mut rollouts = self.rollouts.borrow_mut();
-            let end = rollouts
+            let outcome = rollouts
                 .as_mut()
                 .map(|rollouts| rollouts.apply_order(order, now));
             drop(rollouts);
-            if let Some(end) = end {
-                self.note_order(order, &end, "store");
+            if let Some(outcome) = outcome {
+                self.on_order_outcome(order, &outcome, "store");
             }
         }
-        for refused in &news.refused {
-            self.note_refused(refused);
+        for refused in &update.refused {
+            self.log_refused_order(refused);
         }
     }
 
-    /// Takes what a peer tells.
-    pub(crate) fn merge_rollout_gossip(&self, news: &[RolloutGossip]) {
-        if news.is_empty() {
+    /// Merges the gossip of a peer.
+    pub(crate) fn merge_rollout_gossip(&self, gossip: &[RolloutGossip]) {
+        if gossip.is_empty() {
             return;
         }
         let now = self.now();
-        let taken = {
+        let merged = {
             let mut rollouts = self.rollouts.borrow_mut();
             let Some(rollouts) = rollouts.as_mut() else {
                 return;
             };
-            rollouts.merge(news, now)
+            rollouts.merge(gossip, now)
         };
-        for (order, end) in &taken.0 {
-            self.note_order(order, end, "peer");
+        for (order, outcome) in &merged.0 {
+            self.on_order_outcome(order, outcome, "peer");
         }
-        self.note_rollout_changes(&taken.1);
+        self.on_rollout_changes(&merged.1);
     }
 
-    /// What to tell peers.
+    /// Gossip about roll-outs for peers.
     pub(crate) fn rollout_gossip(&self) -> Vec<RolloutGossip> {
         let now = self.now();
         let mut rollouts = self.rollouts.borrow_mut();
@@ -77,7 +77,7 @@
             .map_or_else(Vec::new, |rollouts| rollouts.gossip(now))
     }
 
-    /// Judges what is known of versions that are rolled out.
+    /// Evaluates the response counts of new versions, and starts the status writes that are due.
     pub fn evaluate_rollouts(&self) {
         let now = self.now();
         let changes = {
@@ -92,13 +92,13 @@
             rollouts.configure(self.bounds().exposure, rank);
             rollouts.tick(now)
         };
-        self.note_rollout_changes(&changes);
+        self.on_rollout_changes(&changes);
         if !self.due_rollout_writes().is_empty() {
             self.rollout_write_due.notify_one();
         }
     }
 
-    /// Writes to the store that are due.
+    /// Status writes to the store that are due.
     pub fn due_rollout_writes(&self) -> Vec<StatusWrite> {
         let now = self.now();
         let rollouts = self.rollouts.borrow();
@@ -107,20 +107,20 @@
             .map_or_else(Vec::new, |rollouts| rollouts.due_writes(now))
     }
 
-    /// A write to the store ended.
-    pub fn on_rollout_write_result(&self, write: &StatusWrite, end: &StatusWriteResult) {
+    /// Applies the result of a status write.
+    pub fn on_rollout_write_result(&self, write: &StatusWrite, result: &StatusWriteResult) {
         let now = self.now();
         let changes = {
             let mut rollouts = self.rollouts.borrow_mut();
             let rollouts = rollouts.as_mut();
             rollouts.map_or_else(Vec::new, |rollouts| {
-                rollouts.on_write_result(write, end, now)
+                rollouts.on_write_result(write, result, now)
             })
         };
-        self.note_rollout_changes(&changes);
+        self.on_rollout_changes(&changes);
     }
 
-    /// Which back ends of a pool a request may go to.
+    /// Which back ends of a pool a request may be sent to, as far as roll-outs decide.
     pub(crate) fn version_filter(&self, pool: &[Requirement], is_first_try: bool) -> VersionFilter {
         let rollouts = self.rollouts.borrow();
         let Some(rollouts) = rollouts.as_ref().filter(|rollouts| !rollouts.is_empty()) else {
@@ -134,20 +134,20 @@
         let Some(service) = members().find_map(BackEndEntry::service) else {
             return VersionFilter::All;
         };
-        if members().any(|entry| is_other(rollouts, service, entry)) {
+        if members().any(|entry| is_alternative(rollouts, service, entry)) {
             VersionFilter::Selected(rollouts.select_version(service, is_first_try, self.now()))
         } else {
             VersionFilter::All
         }
     }
 
-    /// Whether a back end may get a request that makes such a choice.
+    /// Whether a filter allows a back end.
     pub(crate) fn matches_version_filter(
         &self,
         entry: &BackEndEntry,
-        choice: VersionFilter,
+        filter: VersionFilter,
     ) -> bool {
-        let VersionFilter::Selected(side) = choice else {
+        let VersionFilter::Selected(selection) = filter else {
             return true;
         };
         let rollouts = self.rollouts.borrow();
@@ -156,14 +156,15 @@
         };
         let version = entry.version();
         rollouts.may_receive_requests(service, version)
-            && match side {
+            && match selection {
                 VersionSelection::Any => true,
                 VersionSelection::Old => !rollouts.is_new_version(service, version),
                 VersionSelection::New => rollouts.is_new_version(service, version),
             }
     }
 
-    /// Whether the version of a back end is to get nothing, while another one is there.
+    /// Whether the version of a back end is blocked while back ends of another version may receive
+    /// requests.
     pub(crate) fn is_version_blocked(&self, entry: &BackEndEntry, back_ends: &BackEnds) -> bool {
         let rollouts = self.rollouts.borrow();
         let rollouts = rollouts.as_ref().filter(|rollouts| !rollouts.is_empty());
@@ -172,39 +173,41 @@
         };
         let mut others = back_ends.iter().map(|member| &member.entry);
         !rollouts.may_receive_requests(service, entry.version())
-            && others
-                .any(|other| other.service() == Some(service) && is_other(rollouts, service, other))
+            && others.any(|other| {
+                other.service() == Some(service) && is_alternative(rollouts, service, other)
+            })
     }
 
-    fn note_order(&self, order: &RolloutOrder, end: &OrderOutcome, source: &'static str) {
+    /// Logs the outcome of an order, and pushes an order that has started to peers.
+    fn on_order_outcome(&self, order: &RolloutOrder, outcome: &OrderOutcome, source: &'static str) {
         let RolloutOrder {
             service,
             version,
             duration,
             revision,
         } = order;
-        let cause = match end {
+        let cause = match outcome {
             OrderOutcome::AlreadyKnown => return,
             OrderOutcome::Started => None,
             OrderOutcome::Replaced { version } => {
                 log::warn!(
                     target: "rollout",
-                    "service={service} version={version} replaced=true by_revision={revision}: its outcome was open, it gets nothing"
+                    "service={service} version={version} replaced=true by_revision={revision}: its roll-out was undecided, it gets no more requests"
                 );
                 None
             }
-            OrderOutcome::NoExposureBound => Some("no bound of exposure is set".to_owned()),
+            OrderOutcome::NoExposureBound => Some("no exposure bound is set".to_owned()),
             OrderOutcome::Invalid(error) => Some(error.to_string()),
             OrderOutcome::TooManyServices => Some("too many services have roll-outs".to_owned()),
         };
         if let Some(cause) = cause {
-            return self.note_refused(&RefusedOrder {
+            return self.log_refused_order(&RefusedOrder {
                 name: service.clone(),
                 revision: *revision,
                 cause,
             });
         }
-        let count = self.running_version(service, version);
+        let count = self.count_back_ends(service, version);
         log::info!(
             target: "rollout",
             "service={service} version={version} ordered=true revision={revision} duration_ms={} source={source} back_ends={count}",
@@ -212,12 +215,12 @@
         );
         self.push_due.notify_one();
         if count == 0 {
-            log::warn!(target: "rollout", "service={service} version={version} known=false: no back end runs it yet");
+            log::warn!(target: "rollout", "service={service} version={version} known=false: no back end runs this version yet");
         }
     }
 
-    /// Back ends of a service that run a version.
-    fn running_version(&self, service: &str, version: &str) -> usize {
+    /// Number of back ends of a service that run a version.
+    fn count_back_ends(&self, service: &str, version: &str) -> usize {
         let back_ends = self.back_ends.borrow();
         let entries = back_ends.iter().map(|member| &member.entry);
         let of_version =
@@ -225,8 +228,8 @@
         entries.filter(of_version).count()
     }
 
-    /// Says once that an order cannot be taken.
-    fn note_refused(&self, refused: &RefusedOrder) {
+    /// Logs a refused order, once for each revision.
+    fn log_refused_order(&self, refused: &RefusedOrder) {
         let mut known = self.refused_rollout_orders.borrow_mut();
         let is_known = known
             .get(&refused.name)
@@ -234,7 +237,7 @@
         if is_known {
             return;
         }
-        if known.len() >= MOST_REFUSED {
+        if known.len() >= MAX_REFUSED_ORDERS {
             known.clear();
         }
         known.insert(refused.name.clone(), refused.revision);
@@ -247,7 +250,8 @@
         );
     }
 
-    fn note_rollout_changes(&self, changes: &[RolloutChange]) {
+    /// Logs changes of roll-outs, and pushes the urgent and the final ones to peers.
+    fn on_rollout_changes(&self, changes: &[RolloutChange]) {
         for change in changes {
             log::info!(
                 target: "rollout",
@@ -270,38 +274,40 @@
     }
 }
 
-/// Which back ends of a pool a request may go to, as far as versions decide that.
+/// Which back ends of a pool a request may be sent to, as far as roll-outs decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VersionFilter {
-    /// All: there is no roll-out, or no other version to go to.
+    /// All: there is no roll-out, or no back end of another version may receive requests.
     All,
-    /// Those of one side of a roll-out.
+    /// Those whose version is selected.
     Selected(VersionSelection),
 }
 
-/// Whether a back end is of another version than the one that is rolled out, and may get
-/// requests.
-fn is_other(rollouts: &Rollouts, service: &str, entry: &BackEndEntry) -> bool {
+/// Whether a back end runs another version than the new one and may receive requests.
+fn is_alternative(rollouts: &Rollouts, service: &str, entry: &BackEndEntry) -> bool {
     let version = entry.version();
     !rollouts.is_new_version(service, version) && rollouts.may_receive_requests(service, version)
 }
 
-/// What one attempt tells of the version of its back end.
+/// Counts one attempt in the roll-out of its back end's service.
 pub(crate) struct VersionObserver {
     service: String,
     version: String,
     route: Arc<Route>,
     is_new: bool,
-    /// Time to the head of the answer, once that is there.
-    head_after: Cell<Duration>,
+    /// Time to the response head, once that has arrived.
+    time_to_head: Cell<Duration>,
+    /// Whether the outcome is counted.
     is_counted: Cell<bool>,
 }
 
-/// Objectives after which an attempt that was dropped without an answer counts as slow.
-const DROPPED_OBJECTIVES: u32 = 2;
+/// Number of latency objectives from which an attempt that is dropped without a response counts as
+/// a response that took so long.
+const MIN_DROPPED_OBJECTIVES: u32 = 2;
 
 impl VersionObserver {
-    /// For an attempt at a back end; `None` where its service has no roll-out.
+    /// Observes an attempt at a back end; `None` if its service has no roll-out. An attempt at the
+    /// new version counts as sent from now on.
     pub(crate) fn begin(router: &Router, back_end: &str, route: &Arc<Route>) -> Option<Self> {
         let mut rollouts = router.rollouts.borrow_mut();
         let rollouts = rollouts.as_mut().filter(|rollouts| !rollouts.is_empty())?;
@@ -309,21 +315,21 @@
         let entry = &back_ends.get(back_end)?.entry;
         let service = entry.service()?;
         rollouts.state(service)?;
-        let watch = VersionObserver {
+        let observer = VersionObserver {
             service: service.to_owned(),
             version: entry.version().to_owned(),
             route: route.clone(),
             is_new: rollouts.is_new_version(service, entry.version()),
-            head_after: Cell::default(),
+            time_to_head: Cell::default(),
             is_counted: Cell::new(false),
         };
-        if watch.is_new {
-            rollouts.on_send(&watch.service, &watch.version);
+        if observer.is_new {
+            rollouts.on_send(&observer.service, &observer.version);
         }
-        Some(watch)
+        Some(observer)
     }
 
-    /// The request is about to be written: requests to other versions count only then.
+    /// The request is about to be written. Attempts at other versions count as sent only now.
     pub(crate) fn on_write(&self, router: &Router) {
         if !self.is_new {
             if let Some(rollouts) = router.rollouts.borrow_mut().as_mut() {
@@ -332,31 +338,39 @@
         }
     }
 
-    /// The head of an answer came after a time.
+    /// The response head arrived `after` this time.
     pub(crate) fn on_head(&self, after: Duration) {
-        self.head_after.set(after);
+        self.time_to_head.set(after);
     }
 
-    /// It failed, or its answer began well.
+    /// The attempt failed, or its response began successfully.
     pub(crate) fn on_outcome(&self, router: &Router, failed: bool) {
-        self.on_answer(router, (!failed).then_some(self.head_after.get()));
+        self.count_response(router, (!failed).then_some(self.time_to_head.get()));
     }
 
-    fn on_answer(&self, router: &Router, took: Option<Duration>) {
+    /// Counts a response by its latency; `None` for a failure.
+    fn count_response(&self, router: &Router, latency: Option<Duration>) {
         self.is_counted.set(true);
-        let wanted = LatencyTarget {
+        let target = LatencyTarget {
             objective: self.route.objective,
             needs_prefill: self.route.kind.is_stream(),
         };
         if let Some(rollouts) = router.rollouts.borrow_mut().as_mut() {
-            rollouts.on_response(&self.service, &self.version, &self.route.name, took, wanted);
+            rollouts.on_response(
+                &self.service,
+                &self.version,
+                &self.route.name,
+                latency,
+                target,
+            );
         }
     }
 
-    /// It is dropped so long after it was written: without an answer it was slow.
+    /// The attempt is dropped `after` this time since its request was written. If it took long and
+    /// has no counted outcome by then, the time so far counts as its latency.
     pub(crate) fn on_drop(&self, router: &Router, after: Duration) {
-        if !self.is_counted.get() && after >= self.route.objective * DROPPED_OBJECTIVES {
-            self.on_answer(router, Some(after));
+        if !self.is_counted.get() && after >= self.route.objective * MIN_DROPPED_OBJECTIVES {
+            self.count_response(router, Some(after));
         }
     }
 }
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -1,4 +1,4 @@
-//! State of a direct router's process. One thread owns it.
+//! State of a direct router process, which all its tasks share. One thread owns it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -40,152 +40,157 @@
 use crate::ports::Protocol;
 use crate::settings::{Bounds, DirectSettings};
 
-/// How far a process is on its way to its end.
+/// Progress of a process towards its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Takes requests.
+    /// Admits requests.
     Serving,
-    /// Takes requests that end in time, and says that each connection ends with its answer.
+    /// Admits requests whose responses will be complete in time, and closes each connection after
+    /// its next response.
     Closing,
-    /// Closes resting connections and refuses what still comes; answers under
-    /// way end.
+    /// Closes idle connections, refuses further requests and finishes the responses in flight.
     Draining,
-    /// The process ends: answers that are still under way are cut.
+    /// The process ends: responses that are still in flight are cut off.
     Ended,
 }
 
-/// A pool that requests came for.
+/// A pool for which requests have arrived.
 struct KnownPool {
-    /// Conditions on its back ends.
+    /// Requirements on the labels of its back ends.
     back_ends: Vec<Requirement>,
     budget: PoolRetryBudget,
 }
 
-/// State of the process.
+/// State of a router process.
 pub struct Router {
     /// Settings that hold for the life of the process.
     pub settings: DirectSettings,
-    /// Bounds in force; they change with the settings.
+    /// Bounds in force; reloading the settings changes them.
     bounds: Cell<Bounds>,
     /// The protocols towards callers and back ends.
     pub protocol: Rc<dyn Protocol>,
     /// The configuration in force.
     pub configuration: RefCell<Option<Arc<TrafficConfiguration>>>,
-    /// What the last versions of the configuration changed.
+    /// Changes that the latest versions of the configuration made.
     pub configuration_history: RefCell<ConfigurationHistory>,
-    /// What is believed of back ends.
+    /// Back ends, with their loads and health as far as known.
     pub back_ends: RefCell<BackEnds>,
     /// Zones whose back ends get no requests.
     pub zone_drains: RefCell<ZoneDrains>,
-    /// Told when what the operator's store says of zones has to be read anew.
+    /// Notified when the zone drains and roll-out orders have to be read from the store, because
+    /// some may have been missed.
     pub zone_drain_read_due: Notify,
-    /// Roll-outs; `None` where they are not served.
+    /// Roll-outs; `None` unless they are enabled.
     pub rollouts: RefCell<Option<Rollouts>>,
-    /// Told when the store is to hear of a roll-out.
+    /// Notified when the status of a roll-out has to be written to the store.
     pub(crate) rollout_write_due: Notify,
-    /// Orders to roll out versions that cannot be taken and were logged: revisions by name.
+    /// Refused roll-out orders that were logged: revisions by name.
     pub(crate) refused_rollout_orders: RefCell<HashMap<String, u64>>,
-    /// Resting connections to back ends.
+    /// Idle connections to back ends.
     pub connections: RefCell<RestingConnections>,
-    /// Where prompt parts were last read.
+    /// Back ends that are believed to have prompt parts cached.
     pub prefix_locations: RefCell<PrefixLocations>,
-    /// Room of each pool.
+    /// Admission control of each pool, by the name of the pool.
     admissions: RefCell<HashMap<String, PoolAdmission>>,
-    /// Prompt parts of requests of late, by the name of their pool.
+    /// Prompt parts of recent requests, by the name of their pool.
     part_shares: RefCell<HashMap<String, PartShares>>,
-    /// Pools that requests came for, by name.
+    /// Pools for which requests have arrived, by name.
     pools: RefCell<HashMap<String, KnownPool>>,
     /// The other routers.
     pub peers: RefCell<Peers>,
-    /// Whole directories on their way to peers that start.
+    /// Directory snapshots on their way to peers that start.
     pub(crate) directory_transfers: RefCell<SnapshotTransfers>,
-    /// Whole configurations on their way to peers that start.
+    /// Configuration snapshots on their way to peers that start.
     pub(crate) configuration_transfers: RefCell<SnapshotTransfers>,
-    /// Newest change of the directory that was heard.
+    /// Revision of the newest directory change received; 0 for none.
     pub received_directory_revision: Cell<u64>,
-    /// How new what is known of the sources is.
+    /// How current the known configuration and directory are.
     pub(crate) freshness: KnownFreshness,
-    /// Told when something is known here that others are to hear at once.
+    /// Notified when gossip has to be pushed to peers at once.
     pub(crate) push_due: Notify,
-    /// Told when a router that starts is to be told what is known.
+    /// Notified when an uninitialized peer needs a push at once.
     pub(crate) bootstrap_push_due: Notify,
-    /// Told when a peer says that it knows more.
+    /// Notified when a peer announces a newer configuration or directory.
     pub(crate) newer_revision_announced: Notify,
-    /// Told when the store is to be asked for what peers know and do not tell.
+    /// Notified when the configuration has to be polled from the store, because peers announce a
+    /// newer one and none of them sends it in time.
     pub(crate) configuration_poll_due: Notify,
+    /// Notified when the directory has to be polled from the store, for the same reason.
     pub(crate) directory_poll_due: Notify,
-    /// When this process was last seen to run, and when it last went on after it had stood still.
-    ran: Cell<Time>,
-    went_on: Cell<Option<Time>>,
-    /// Back ends that vanished from the directory and may come back.
+    /// When this process was last seen running.
+    last_active: Cell<Time>,
+    /// End of the last stall of this process.
+    stall_ended_at: Cell<Option<Time>>,
+    /// Entries that vanished from the directory and may come back.
     pub pending_removals: RefCell<PendingRemovals>,
-    /// Runs that broke off, until it is known whether their back end ended.
+    /// Runs whose responses broke off, until it is known whether their back ends crashed.
     pub(crate) interrupted_runs: RefCell<InterruptedRuns>,
-    /// Looks at whether back ends still accept connections.
+    /// Crash probes, in progress or recent.
     pub(crate) crash_probes: RefCell<HashMap<InstanceId, Look>>,
-    /// Requests that end back ends.
+    /// Requests under which back ends crashed.
     pub quarantine: RefCell<Quarantine>,
-    /// Back ends that run a request on probation.
+    /// Ids of the back ends that run a request on probation.
     pub(crate) back_ends_on_probation: RefCell<HashSet<String>>,
-    /// Verdicts so far.
-    pub(crate) verdicts: watch::Sender<u64>,
-    /// Counters and histograms.
+    /// Number of times that a request was set aside. Requests in flight wait for changes.
+    pub(crate) verdict_count: watch::Sender<u64>,
+    /// Counters, gauges and histograms.
     pub metrics: DirectMetrics,
-    /// How far the process is on its way to its end.
+    /// Progress of the process towards its end.
     pub phase: watch::Sender<Phase>,
-    /// The stop signal, once it came.
+    /// Schedule of the stop, once the stop signal has arrived.
     pub(crate) planned_stop: Cell<Option<PlannedStop>>,
-    /// Requests under way that were taken while nobody else served, after callers had looked away.
+    /// Requests in flight that were admitted after [`PlannedStop::deregistered_at`], while no other
+    /// router served.
     pub(crate) admitted_after_deregistration: Cell<usize>,
     /// Requests whose bodies are being read.
     pub(crate) requests_being_read: Cell<usize>,
-    /// Callers' connections whose last answer may not have left yet.
+    /// Callers' connections whose last response may not be sent completely yet.
     pub(crate) connections_flushing: Cell<usize>,
-    /// How long requests took of late, by route.
+    /// How long recent requests took, by route.
     pub(crate) run_times: RefCell<HashMap<String, RunTimes>>,
     /// Whether the store does not answer.
     pub store_lost: Cell<bool>,
-    /// Requests under way.
+    /// Requests that are being handled; their bodies have been read.
     pub requests_in_flight: Cell<usize>,
-    /// Open callers' connections.
+    /// Open connections of callers.
     pub open_connections: Cell<usize>,
     pub(crate) clock: Rc<dyn Clock>,
     /// Reading of the clock at the start of the process.
     origin: Duration,
     pub(crate) suspension_detector: Cell<SuspensionDetector>,
-    /// Suspensions so far.
+    /// Number of suspensions of the machine so far.
     pub(crate) suspensions: watch::Sender<u64>,
-    /// When a suspension was over after which nobody was heard yet.
+    /// End of the last suspension, until the store or a peer is reached.
     pub(crate) no_contact_since: Cell<Option<Time>>,
 }
 
-/// Lateness of a timer from which the process is late: what it reads then may have waited.
-const LATE: Duration = Duration::from_millis(100);
+/// Timer lag from which a warning is logged: data that the process reads then may have waited.
+const TIMER_LAG_WARNING: Duration = Duration::from_millis(100);
 
-/// Time without a sign of running from which a process has stood still: timers wake it ten times a second.
-const STOOD_STILL: Duration = Duration::from_millis(400);
+/// Time without activity from which a process counts as stalled; timers wake it ten times a second.
+const MIN_STALL: Duration = Duration::from_millis(400);
 
-/// Time in which it reads what came meanwhile.
-const CATCH_UP: Duration = Duration::from_millis(500);
+/// Time after a stall in which a process reads what arrived during the stall.
+const CATCH_UP_TIME: Duration = Duration::from_millis(500);
 
-/// Bytes of news that a router sends in a second.
-const NEWS_BYTES_PER_SECOND: f64 = 1800.0;
+/// Bytes of gossip that a router sends per second.
+const GOSSIP_BYTES_PER_SECOND: f64 = 1800.0;
 
 impl Router {
-    /// A router that knows nothing yet.
+    /// A router without configuration and back ends.
     pub fn new(
         settings: DirectSettings,
         protocol: Rc<dyn Protocol>,
         metrics: DirectMetrics,
         clock: Rc<dyn Clock>,
     ) -> Self {
-        let begun = clock.read();
+        let start = clock.read();
         let peers = Peers::new(
             settings.peers.listen,
             ZoneHash::of(&settings.zone),
             rand::rng().next_u32(),
             &settings.peers.seeds,
-            NEWS_BYTES_PER_SECOND,
+            GOSSIP_BYTES_PER_SECOND,
             Time(0),
         );
         Router {
@@ -215,14 +220,14 @@
             newer_revision_announced: Notify::new(),
             configuration_poll_due: Notify::new(),
             directory_poll_due: Notify::new(),
-            ran: Cell::new(Time(0)),
-            went_on: Cell::default(),
+            last_active: Cell::new(Time(0)),
+            stall_ended_at: Cell::default(),
             pending_removals: RefCell::default(),
             interrupted_runs: RefCell::default(),
             crash_probes: RefCell::default(),
             quarantine: RefCell::default(),
             back_ends_on_probation: RefCell::default(),
-            verdicts: watch::Sender::new(0),
+            verdict_count: watch::Sender::new(0),
             metrics,
             phase: watch::Sender::new(Phase::Serving),
             planned_stop: Cell::default(),
@@ -234,20 +239,20 @@
             requests_in_flight: Cell::new(0),
             open_connections: Cell::new(0),
             clock,
-            origin: begun.elapsed,
-            suspension_detector: Cell::new(SuspensionDetector::new(&begun)),
+            origin: start.elapsed,
+            suspension_detector: Cell::new(SuspensionDetector::new(&start)),
             suspensions: watch::Sender::new(0),
             no_contact_since: Cell::default(),
         }
     }
 
-    /// Time since the process started, suspensions of its machine included.
+    /// Time since the process started, including suspensions of its machine.
     pub fn now(&self) -> Time {
         let elapsed = self.clock.read().elapsed.saturating_sub(self.origin);
         Time(elapsed.as_micros() as u64)
     }
 
-    /// Whether callers should be sent here.
+    /// Whether callers should send requests to this router.
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
             && self.configuration.borrow().is_some()
@@ -260,7 +265,7 @@
         self.bounds.get()
     }
 
-    /// Takes over what may change while the process runs: bounds and seeds.
+    /// Applies the settings that may change while the process runs: bounds and seeds.
     pub fn reload(&self, settings: &DirectSettings) {
         self.bounds.set(settings.bounds);
         self.shorten_grace(settings.bounds.grace);
@@ -278,44 +283,44 @@
         known.as_ref().map_or(0, |known| known.version)
     }
 
-    /// Revision of its source as of which the configuration in force was stored; 0 if
-    /// not known.
+    /// Revision of its source at which the configuration in force was stored; 0 if unknown.
     pub fn configuration_revision(&self) -> u64 {
         let known = self.configuration.borrow();
         known.as_ref().map_or(0, |known| known.revision)
     }
 
-    /// Revision up to which the directory is known and decided.
+    /// Revision up to which the directory is known and no removal is pending.
     pub fn directory_revision(&self) -> u64 {
-        let held = self.pending_removals.borrow();
-        held.decided_revision(self.received_directory_revision.get())
+        let removals = self.pending_removals.borrow();
+        removals.decided_revision(self.received_directory_revision.get())
     }
 
-    /// The process runs now. What it reads may have waited for as long as it stood still before.
+    /// Records that the process is running. Data that it reads after a stall may have waited for as
+    /// long as the stall lasted.
     pub fn record_activity(&self) {
         let now = self.now();
-        if now.since(self.ran.replace(now)) >= STOOD_STILL {
-            self.went_on.set(Some(now));
+        if now.since(self.last_active.replace(now)) >= MIN_STALL {
+            self.stall_ended_at.set(Some(now));
         }
     }
 
-    /// Whether what is read now came when it is read: the process has not stood still of late.
+    /// Whether data is read as soon as it arrives, because the process was not stalled recently.
     pub fn is_caught_up(&self) -> bool {
         let now = self.now();
-        self.went_on
+        self.stall_ended_at
             .get()
-            .is_none_or(|went_on| now.since(went_on) >= CATCH_UP)
+            .is_none_or(|ended_at| now.since(ended_at) >= CATCH_UP_TIME)
     }
 
-    /// A timer of the process fired this late.
+    /// Records how late a timer of the process fired.
     pub fn record_timer_lag(&self, lag: Duration) {
-        self.metrics.record_lag(lag.as_secs_f64());
-        if lag >= LATE {
+        self.metrics.record_timer_lag(lag.as_secs_f64());
+        if lag >= TIMER_LAG_WARNING {
             log::warn!(target: "process", "late_ms={}", lag.as_millis());
         }
     }
 
-    /// Says what is believed of the loads of each pool, and how old that is.
+    /// Logs the estimated loads of each pool and their age.
     pub fn log_loads(&self) {
         let now = self.now();
         let back_ends = self.back_ends.borrow();
@@ -326,26 +331,26 @@
                 members.filter(|member| matches_all(&pool.back_ends, &member.entry.labels));
             let summary = LoadSummary::of(members, now);
             stale += summary.stale;
-            if summary.known > 0 {
+            if summary.reported > 0 {
                 log::info!(target: "loads", "pool={name} {summary}");
             }
         }
         self.metrics.record_stale_loads(stale);
     }
 
-    /// Takes over what the peers have in flight.
+    /// Updates how many requests of the peers are in flight at each back end.
     pub fn apply_peer_loads(&self) {
         let loads = self.peers.borrow().in_flight();
-        let fresh = self.peers.borrow().has_short_round();
+        let are_fresh = self.peers.borrow().has_short_round();
         for back_end in self.back_ends.borrow_mut().iter_mut() {
             let load = loads.get(&ShortId::of(back_end.id_hash)).copied();
             back_end.load.in_flight_from_peers = f64::from(load.unwrap_or(0));
-            back_end.load.peer_counts_are_fresh = fresh;
+            back_end.load.peer_counts_are_fresh = are_fresh;
         }
     }
 
-    /// Age of what a back end told of its load; `None` when the peers' counts are
-    /// believed instead.
+    /// Age of the load that a back end reported; `None` if no report counts, or if the peers'
+    /// counts are used instead.
     pub fn load_age(&self, back_end: &str) -> Option<Duration> {
         self.back_ends
             .borrow()
@@ -354,7 +359,7 @@
             .reported_age(self.now())
     }
 
-    /// Takes over which back ends a peer suspects.
+    /// Records which back ends a peer suspects.
     pub fn apply_suspect_reports(&self, peer: SocketAddr, suspects: &[ShortId]) {
         let now = self.now();
         let mut back_ends = self.back_ends.borrow_mut();
@@ -372,7 +377,7 @@
         }
     }
 
-    /// Sets what this router may send to back ends that are cold.
+    /// Updates the rates at which this router may send to cold back ends.
     pub fn update_slow_start(&self) {
         let configuration = self.configuration.borrow();
         let Some(configuration) = configuration.as_ref() else {
@@ -392,12 +397,12 @@
         }
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Puts a configuration into force if it is newer than the one in force.
     pub fn apply_configuration(&self, configuration: Arc<TrafficConfiguration>) {
         let mut known = self.configuration.borrow_mut();
         let before = known.as_ref().map_or(0, |known| known.version);
-        let newer = known.is_none() || configuration.version > before;
-        if newer {
+        let is_newer = known.is_none() || configuration.version > before;
+        if is_newer {
             log::info!(
                 target: "configuration",
                 "version={} before={} routes={} adopted=true",
@@ -419,18 +424,20 @@
         self.with_budget(pool, |budget| budget.count_request(now));
     }
 
-    /// Takes one repeated send of a request to a pool from the budget.
+    /// Takes the permit for one retry of a request from the budget of its pool. Returns whether the
+    /// retry is allowed.
     pub fn take_retry(&self, id: &str, pool: &[Requirement]) -> bool {
         let now = self.now();
-        let (taken, left) = self.with_budget(pool, |budget| (budget.take(now), budget.available()));
-        self.metrics.count_retry(taken);
+        let (allowed, left) =
+            self.with_budget(pool, |budget| (budget.take(now), budget.available()));
+        self.metrics.count_retry(allowed);
         log::info!(
             target: "retry",
-            "id={id} pool={} allowed={taken} left={left} up_ms={}",
+            "id={id} pool={} allowed={allowed} left={left} up_ms={}",
             pool_name(pool),
             now.since(Time(0)).as_millis(),
         );
-        taken
+        allowed
     }
 
     fn with_budget<T>(
@@ -448,25 +455,25 @@
         act(&mut known.budget)
     }
 
-    /// Reads or changes what is known of a pool's room.
+    /// Reads or changes the admission control of a pool.
     pub fn with_admission<T>(&self, pool: &str, act: impl FnOnce(&mut PoolAdmission) -> T) -> T {
         let mut admissions = self.admissions.borrow_mut();
         act(admissions.entry(pool.to_owned()).or_default())
     }
 
-    /// Acts on what is known of the prompt parts of a pool's requests.
+    /// Reads or changes the statistics of prompt parts of a pool.
     pub fn with_part_shares<T>(&self, pool: &str, act: impl FnOnce(&mut PartShares) -> T) -> T {
         let mut shares = self.part_shares.borrow_mut();
         act(shares.entry(pool.to_owned()).or_default())
     }
 
-    /// Routers that send to the same pools, this one among them.
+    /// Number of live routers, this one included; all send to the same pools.
     pub fn router_count(&self) -> usize {
         self.peers.borrow().live_count() + 1
     }
 }
 
-/// A short name of a pool, for logs, metrics and its retry budget.
+/// Short name of a pool, for logs and as key of its state.
 pub fn pool_name(pool: &[Requirement]) -> &str {
     pool.iter()
         .find_map(|requirement| requirement.equals.as_deref())
--- a/crates/stacktack-direct/src/stopping.rs
+++ b/crates/stacktack-direct/src/stopping.rs
@@ -1,4 +1,4 @@
-//! The end of a router's process: what it takes after it was told to stop, and when it ends.
+//! Graceful shutdown: which requests are admitted after the stop signal, and when the process ends.
 
 use std::time::Duration;
 
@@ -12,17 +12,18 @@
 use crate::respond::RETRY_AFTER;
 use crate::router::{Phase, Router};
 
-/// Time without anything under way after which the process ends: requests may have been sent before their callers
-/// were told that the connection closes.
-const QUIET: Duration = Duration::from_millis(200);
+/// Time without any request or response in flight after which the process ends. Callers may have
+/// sent requests before they learned that the connection closes.
+const QUIET_TIME: Duration = Duration::from_millis(200);
 
-/// Time over which refused callers come back: the first router that is back serves them alone.
+/// Time over which the returns of refused callers are spread, because the first router that serves
+/// again serves all of them alone.
 const RETURN_SPREAD: Duration = Duration::from_millis(1500);
 
-/// Time between looks at what is under way while stopping.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// Time between two checks of what is in flight during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Says that it stops, serves who still comes, then waits for what is under way.
+/// Announces the stop, serves requests that still arrive, then waits for those in flight.
 pub async fn stop(router: &Router) {
     let stop = PlannedStop::new(router.now(), router.bounds().grace);
     router.planned_stop.set(Some(stop));
@@ -33,8 +34,8 @@
         router.requests_in_flight.get(),
     );
     router.phase.send_replace(Phase::Closing);
-    router.until_in_stop(PlannedStop::deregistered_at).await;
-    serve_as_the_last(router).await;
+    router.until_stop_moment(PlannedStop::deregistered_at).await;
+    serve_while_alone(router).await;
     log::info!(
         target: "router",
         "taking=false after_ms={} others_serve={} requests={}",
@@ -56,22 +57,24 @@
     );
 }
 
-/// While no other router serves, short requests are served for as long as requests that came before keep the
-/// process. Those taken here prolong that by their own answers only.
-async fn serve_as_the_last(router: &Router) {
+/// While no other router serves, goes on serving short requests for as long as requests from before
+/// the deregistration are in flight. Requests that are admitted meanwhile do not prolong this; only
+/// their own responses are waited for afterwards.
+async fn serve_while_alone(router: &Router) {
     while !router.peers.borrow().any_serving()
         && router.requests_in_flight.get() > router.admitted_after_deregistration.get()
         && router.now() < router.stop_end()
     {
-        router.poll_in_stop().await;
+        router.sleep_until_stop_poll().await;
     }
 }
 
-/// Waits for requests that arrive and for answers under way, until their last bytes have left.
+/// Waits for requests that are being read and for responses in flight, until their last bytes are
+/// sent or the process has to end.
 async fn drain(router: &Router) {
     let mut quiet_since = None;
     while router.open_connections.get() > 0 && router.now() < router.stop_end() {
-        router.poll_in_stop().await;
+        router.sleep_until_stop_poll().await;
         quiet_since = match router.requests_in_flight.get()
             + router.requests_being_read.get()
             + router.connections_flushing.get()
@@ -79,39 +82,40 @@
             0 => quiet_since.or(Some(router.now())),
             _ => None,
         };
-        if quiet_since.is_some_and(|since| router.now().since(since) >= QUIET) {
+        if quiet_since.is_some_and(|since| router.now().since(since) >= QUIET_TIME) {
             return;
         }
     }
 }
 
-/// A time that does not come.
+/// A time that is never reached.
 const NEVER: Time = Time(u64::MAX);
 
 impl Router {
-    /// When the process ends by itself; never while it was not told to stop.
+    /// When the process ends by itself; [`NEVER`] before a stop signal.
     fn stop_end(&self) -> Time {
         self.planned_stop.get().map_or(NEVER, |stop| stop.end())
     }
 
-    /// Takes over a shorter grace.
+    /// Applies a changed grace period to a stop in progress; only a shorter one has an effect.
     pub(crate) fn shorten_grace(&self, grace: Duration) {
         if let Some(mut stop) = self.planned_stop.get() {
             stop.shorten_grace(grace);
             self.planned_stop.set(Some(stop));
-            // Wakes those that wait for the end.
+            // Wakes tasks that wait for a moment of the stop.
             self.phase.send_modify(|_| ());
         }
     }
 
-    /// Whether a request is taken, asked at its head and again when its body is whole: always, unless the
-    /// process may end before its answer does.
-    pub(crate) fn may_admit(&self, id: &str, route: &Route, limit: Time) -> bool {
+    /// Whether a request may be admitted; checked when its head has arrived and again when its body
+    /// is complete. After a stop signal, only if its response is expected to be complete before the
+    /// process ends.
+    pub(crate) fn may_admit(&self, id: &str, route: &Route, deadline: Time) -> bool {
         let Some(stop) = self.planned_stop.get() else {
             return true;
         };
         let now = self.now();
-        let request = self.stop_request(route, limit);
+        let request = self.request_timing(route, deadline);
         let decision = stop.decide(&request, now);
         log::info!(
             target: "stop",
@@ -120,14 +124,15 @@
             decision.as_str(),
             stop.age(now).as_millis(),
             stop.end().since(now).as_millis(),
-            limit.since(now).as_millis(),
+            deadline.since(now).as_millis(),
             request.longest_run.map_or_else(|| "-".to_owned(), |longest| longest.as_millis().to_string()),
             self.peers.borrow().any_serving(),
         );
         decision.is_admitted()
     }
 
-    /// Counts a request that is taken after callers have looked away; returns whether this one is.
+    /// Counts a request that is admitted after [`PlannedStop::deregistered_at`]; returns whether
+    /// this one is.
     pub(crate) fn count_admission_after_deregistration(&self) -> bool {
         let now = self.now();
         let stop = self.planned_stop.get();
@@ -139,75 +144,78 @@
         is_late
     }
 
-    /// Whether the answer to another attempt of a request that was taken has time to become whole.
-    pub(crate) fn has_time_for_retry(&self, route: &Route, limit: Time) -> bool {
+    /// Whether the response to another attempt of an admitted request has time to be completed
+    /// before the process ends.
+    pub(crate) fn has_time_for_retry(&self, route: &Route, deadline: Time) -> bool {
         let Some(stop) = self.planned_stop.get() else {
             return true;
         };
-        stop.may_retry(&self.stop_request(route, limit), self.now())
+        stop.may_retry(&self.request_timing(route, deadline), self.now())
     }
 
-    fn stop_request(&self, route: &Route, limit: Time) -> RequestTiming {
+    fn request_timing(&self, route: &Route, deadline: Time) -> RequestTiming {
         RequestTiming {
-            deadline: limit,
+            deadline,
             longest_run: self.longest_run(&route.name),
         }
     }
 
-    /// Waits until a request is answered at the latest: at its limit, or before the process ends.
-    pub(crate) async fn until_response_due(&self, limit: Time) {
+    /// Waits until a request has to be answered: at its deadline, or before the process ends if that
+    /// is sooner.
+    pub(crate) async fn until_response_due(&self, deadline: Time) {
         tokio::select! {
-            () = self.sleep_until(limit) => {}
-            () = self.until_in_stop(PlannedStop::response_deadline) => {}
+            () = self.sleep_until(deadline) => {}
+            () = self.until_stop_moment(PlannedStop::response_deadline) => {}
         }
     }
 
-    /// Waits for a moment of the stop, also when that comes sooner than it seemed; for ever while the process
-    /// is not told to stop.
-    async fn until_in_stop(&self, moment: fn(&PlannedStop) -> Time) {
+    /// Waits for a moment of the stop, also if a shorter grace period brings it forward meanwhile;
+    /// does not return before a stop signal.
+    async fn until_stop_moment(&self, moment: fn(&PlannedStop) -> Time) {
         let mut phase = self.phase.subscribe();
         loop {
             let stop = self.planned_stop.get();
             let at = stop.as_ref().map_or(NEVER, moment);
             tokio::select! {
                 () = self.sleep_until(at) => return,
-                // An error means that the router is gone, and with it who waits.
+                // Fails only if the router is dropped, and this future with it.
                 _ = phase.changed() => {}
             }
         }
     }
 
-    /// Waits for the next look at what is under way, never beyond the end.
-    async fn poll_in_stop(&self) {
+    /// Waits until the next check of what is in flight, at most until the process ends.
+    async fn sleep_until_stop_poll(&self) {
         let left = self.stop_end().since(self.now());
-        sleep(STOP_POLL.min(left)).await;
+        sleep(STOP_POLL_INTERVAL.min(left)).await;
     }
 
-    /// Time until some router takes all requests again, as far as known.
+    /// Time after which a refused caller should return: when some router is expected to admit all
+    /// requests again, plus a random spread if none does now.
     pub(crate) fn time_until_serving(&self) -> Duration {
         let peers = self.peers.borrow();
         if peers.any_serving() {
             return RETRY_AFTER;
         }
         let grace = self.bounds().grace;
-        let of_peer = peers
+        let stop_of_peer = peers
             .first_stopped()
-            .map(|begun| PlannedStop::new(begun, grace));
-        let longest = self.longest_run_of_all();
-        let stops = self.planned_stop.get().into_iter().chain(of_peer);
-        let back = stops.map(|stop| stop.successor_ready_at(longest)).min();
-        let wait = back.map_or(Duration::ZERO, |back| back.since(self.now()));
+            .map(|signaled| PlannedStop::new(signaled, grace));
+        let longest_run = self.longest_run_of_all();
+        let stops = self.planned_stop.get().into_iter().chain(stop_of_peer);
+        let ready_at = stops.map(|stop| stop.successor_ready_at(longest_run)).min();
+        let wait = ready_at.map_or(Duration::ZERO, |ready_at| ready_at.since(self.now()));
         wait.max(RETRY_AFTER) + RETURN_SPREAD.mul_f64(rand::rng().random())
     }
 
-    /// A request of a route is taken.
+    /// Adds a request that was admitted to the run times of its route.
     pub(crate) fn begin_run(&self, route: &str) -> RunId {
         let now = self.now();
         let mut run_times = self.run_times.borrow_mut();
         run_times.entry(route.to_owned()).or_default().begin(now)
     }
 
-    /// It is over; `ran` as [`stacktack_core::direct::request::run_times::RunTimes::end`] has it.
+    /// Ends a run; for `ran` see [`stacktack_core::direct::request::run_times::RunTimes::end`].
     pub(crate) fn end_run(&self, route: &str, run: RunId, ran: bool) {
         let now = self.now();
         if let Some(times) = self.run_times.borrow_mut().get_mut(route) {
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Longest run of a route of late.
+    /// Longest recent run of a route.
     fn longest_run(&self, route: &str) -> Option<Duration> {
         let run_times = self.run_times.borrow();
         run_times.get(route)?.longest(self.now())
@@ -230,7 +238,7 @@
             .max()
     }
 
-    /// Forgets routes without requests of late.
+    /// Removes the run times of routes without recent requests.
     pub(crate) fn remove_idle_run_times(&self, now: Time) {
         let mut run_times = self.run_times.borrow_mut();
         run_times.retain(|_, times| !times.is_idle(now));
--- a/crates/stacktack-direct/src/suspension.rs
+++ b/crates/stacktack-direct/src/suspension.rs
@@ -1,8 +1,9 @@
-//! What a router does about a suspension of its machine.
+//! Handling of a suspension of the router's machine.
 //!
-//! While it lasts nothing runs here and everything ages elsewhere: callers leave, back ends end,
-//! zones are drained, keys are taken away. What is past its limit ends at once. What was believed
-//! is not acted upon until the store or a peer was heard again.
+//! While the machine is suspended, nothing runs here and everything ages elsewhere: callers leave,
+//! back ends end, zones are drained, keys are revoked. Afterwards, whatever is past its deadline
+//! ends at once, and requests are refused until the store or a peer was reached again, because the
+//! router's knowledge may be outdated.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,12 +13,13 @@
 
 use crate::router::Router;
 
-/// Longest time for which requests are refused after a suspension while nobody is heard: the store
-/// and all peers may be away, and what was believed before is better than nothing then.
-const AWAIT_NEWS: Duration = Duration::from_secs(1);
+/// Maximum time for which requests are refused after a suspension while neither the store nor a
+/// peer is reached. All of them may be down, and then knowledge from before the suspension is better
+/// than none.
+const MAX_CONTACT_WAIT: Duration = Duration::from_secs(1);
 
 impl Router {
-    /// Looks whether the machine was suspended since the last look.
+    /// Checks whether the machine was suspended since the last check.
     pub fn check_for_suspension(&self) {
         let reading = self.clock.read();
         let mut detector = self.suspension_detector.get();
@@ -37,14 +39,14 @@
             self.requests_in_flight.get(),
         );
         self.metrics.record_suspension(suspended.as_secs_f64());
-        // Their other ends may be gone, and nothing tells so before something is sent.
+        // Back ends may have closed idle connections, which shows only when something is sent.
         self.connections.borrow_mut().clear();
         self.back_ends.borrow_mut().on_suspended(now);
         self.no_contact_since.set(Some(now));
         self.suspensions.send_modify(|count| *count += 1);
     }
 
-    /// The store or a peer was heard: what is believed is as new as what they tell.
+    /// The store or a peer was reached: the router's knowledge is as current as theirs.
     pub(crate) fn on_contact(&self) {
         if let Some(since) = self.no_contact_since.take() {
             let waited = self.now().since(since);
@@ -52,41 +54,47 @@
         }
     }
 
-    /// Whether nobody was heard since a suspension.
+    /// Whether neither the store nor a peer was reached since a suspension; false again when the
+    /// maximum wait is over.
     pub fn awaits_contact(&self) -> bool {
         let since = self.no_contact_since.get();
-        since.is_some_and(|since| self.now().since(since) < AWAIT_NEWS)
+        since.is_some_and(|since| self.now().since(since) < MAX_CONTACT_WAIT)
     }
 
-    /// Waits until a time, at most for a moment longer where the machine is suspended before.
-    pub async fn sleep_until(&self, limit: Time) {
+    /// Waits until a time. Timers stand still while the machine is suspended, so that the remaining
+    /// time is computed again after each suspension; then the wait ends a moment late at most.
+    pub async fn sleep_until(&self, deadline: Time) {
         let mut suspensions = self.suspensions.subscribe();
         loop {
-            let left = limit.since(self.now());
+            let left = deadline.since(self.now());
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = sleep(left) => {}
-                // An error means that the router is gone, and with it who waits.
+                // Fails only if the router is dropped, and this future with it.
                 _ = suspensions.changed() => {}
             }
         }
     }
 
-    /// What a future gives before a time; `None` if it does not end before.
-    pub async fn timeout_at<T>(&self, limit: Time, future: impl Future<Output = T>) -> Option<T> {
+    /// Output of a future; `None` if it does not complete before a time.
+    pub async fn timeout_at<T>(
+        &self,
+        deadline: Time,
+        future: impl Future<Output = T>,
+    ) -> Option<T> {
         tokio::select! {
             biased;
             output = future => Some(output),
-            () = self.sleep_until(limit) => None,
+            () = self.sleep_until(deadline) => None,
         }
     }
 
-    /// Waits for the next suspension to be over.
+    /// Waits until the next suspension of the machine is over.
     pub(crate) async fn wait_for_resume(&self) {
         let mut suspensions = self.suspensions.subscribe();
-        // An error means that the router is gone, and with it who waits.
+        // Fails only if the router is dropped, and this future with it.
         let _ = suspensions.changed().await;
     }
 }
