--- a/crates/stacktack-direct/src/calls.rs
+++ b/crates/stacktack-direct/src/calls.rs
@@ -1,9 +1,9 @@
-//! Calls to a source that are under way.
+//! Hedged calls to a source.
 //!
-//! A slow answer and none look alike until it comes. So a call that is late is not
-//! given up: a further one is made beside it, on a connection of its own, and the
-//! first answer is taken. A call that is given up at a fixed bound has to begin anew,
-//! and never ends where an answer takes longer than the bound.
+//! A slow answer cannot be told from a lost one before it comes. So a late call is not given up:
+//! another one is made beside it, on a connection of its own, and the first answer is used. With a
+//! fixed timeout instead, a call would start over each time and never end where an answer takes
+//! longer than the timeout.
 
 use std::future::poll_fn;
 use std::rc::Rc;
@@ -16,37 +16,41 @@
 use crate::ports::{LocalBoxFuture, SourceError};
 use crate::transfer::Transfer;
 
-/// Time for which nothing arrives on a late call after which it is given up: its
-/// connection may be dead without a reset. Answers up to this late are still taken.
-const GIVE_UP: Duration = Duration::from_secs(10);
+/// Time without data after which a late call is given up: its connection may be dead without a
+/// reset. Answers that are less late are still used.
+const GIVE_UP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Lateness of a timer from which this process stood still, beyond the resolution of timers.
-const OWN_LATENESS: Duration = Duration::from_millis(50);
+/// Minimum lateness of a timer that counts as a stall of this process. It is above the resolution
+/// of timers.
+const MIN_STALL: Duration = Duration::from_millis(50);
 
-/// Time between looks at whether this process runs, while an answer is late.
-const OWN_LOOK: Duration = Duration::from_millis(200);
+/// Interval between checks whether this process was stalled, from when an answer is due until it
+/// counts as late; also the time that a call is given after a stall before it counts as late, in
+/// which a waiting answer is read.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A call that is over.
+/// A call that was answered, failed or was given up.
 #[derive(Debug)]
 pub struct EndedCall {
-    /// Revision after which it asked; `None` for everything.
+    /// Revision after which the call asked for changes; `None` for a snapshot.
     pub after_revision: Option<u64>,
-    /// How far its answer came.
+    /// Progress of the answer.
     pub transfer: Rc<Transfer>,
-    /// Time for which it might wait there for news.
+    /// Maximum time for which the call was to wait at the source for changes.
     pub max_wait: Duration,
     due: Instant,
 }
 
 impl EndedCall {
-    /// How long after it was due the answer began.
+    /// Time from when the answer was due until it began to arrive, or until now if it has not.
     pub fn lateness(&self) -> Duration {
         let first = self.transfer.first_byte().unwrap_or_else(Instant::now);
         first.saturating_duration_since(self.due)
     }
 
-    /// How long ago the answer was made, at most: since the call was made, where it did not
-    /// wait there; else since the answer came, and as long as answers are late.
+    /// Upper bound on the time since the source made the answer: the time since the call was made.
+    /// If the call was to wait at the source, the time since the answer began to arrive, plus the
+    /// `lateness` of answers, bounds it as well.
     pub fn answer_age(&self, lateness: Duration) -> Duration {
         let since_call = self.transfer.elapsed();
         if self.max_wait.is_zero() {
@@ -57,7 +61,7 @@
     }
 }
 
-/// What happens next to the calls.
+/// Event of [`HedgedCalls`].
 #[derive(Debug)]
 pub enum CallEvent<T> {
     /// A call is to be made now.
@@ -66,11 +70,11 @@
     Answered(T, EndedCall),
     /// A call failed.
     Failed(SourceError, EndedCall),
-    /// A call is later than answers may be; it goes on.
+    /// A call was not answered in time; it goes on.
     Late {
-        /// How far its answer has come.
+        /// Progress of the answer.
         transfer: Rc<Transfer>,
-        /// Time for which it might wait there for news.
+        /// Maximum time for which the call was to wait at the source for changes.
         max_wait: Duration,
     },
     /// A late call was given up.
@@ -81,55 +85,58 @@
     ended: EndedCall,
     answer: LocalBoxFuture<'a, Result<T, SourceError>>,
     late: bool,
-    /// Whether it got time for what may wait to be read.
-    was_spared: bool,
+    /// Whether the call was given time after a stall of this process.
+    had_stall_extension: bool,
 }
 
 impl<T> Call<'_, T> {
-    /// Since when the call shows nothing though it should.
-    fn quiet_since(&self) -> Instant {
+    /// Since when the call makes no progress although it should.
+    fn no_progress_since(&self) -> Instant {
         self.ended.due.max(self.ended.transfer.moved())
     }
 
-    /// When to look at it again: once it is late by `patience`, and now and then before.
-    fn next_look(&self, patience: Duration) -> Instant {
-        let quiet_since = self.quiet_since();
-        let next = quiet_since.max(Instant::now()) + OWN_LOOK;
-        next.min(quiet_since + patience)
+    /// When to check the call again: when it is late by `max_lateness`, and at intervals before.
+    fn next_check(&self, max_lateness: Duration) -> Instant {
+        let no_progress_since = self.no_progress_since();
+        let next = no_progress_since.max(Instant::now()) + STALL_CHECK_INTERVAL;
+        next.min(no_progress_since + max_lateness)
     }
 }
 
-/// Calls of one kind that are under way, the newest last.
+/// Calls of one kind to a source that are in flight, and when to make the next one.
 pub struct HedgedCalls<'a, T> {
-    under_way: Vec<Call<'a, T>>,
+    /// Calls in flight, the newest last.
+    in_flight: Vec<Call<'a, T>>,
+    /// When to make the next call, if one is scheduled.
     next: Option<Instant>,
 }
 
 impl<'a, T> HedgedCalls<'a, T> {
-    /// No call yet; the first one is due now.
+    /// Creates a state without calls in flight; the first one is due now.
     pub fn new() -> Self {
         HedgedCalls::starting_in(Duration::ZERO)
     }
 
-    /// No call yet; the first one is due after a pause.
-    pub fn starting_in(pause: Duration) -> Self {
+    /// Creates a state without calls in flight; the first one is due after a delay.
+    pub fn starting_in(delay: Duration) -> Self {
         HedgedCalls {
-            under_way: Vec::new(),
-            next: Some(Instant::now() + pause),
+            in_flight: Vec::new(),
+            next: Some(Instant::now() + delay),
         }
     }
 
-    /// Whether no call is planned, and none under way that may still be answered in time.
+    /// Whether no call is scheduled, and all calls in flight are late.
     pub fn is_idle(&self) -> bool {
-        self.next.is_none() && self.under_way.iter().all(|call| call.late)
+        self.next.is_none() && self.in_flight.iter().all(|call| call.late)
     }
 
-    /// The next call is due after a pause.
-    pub fn schedule(&mut self, pause: Duration) {
-        self.next = Some(Instant::now() + pause);
+    /// Schedules the next call after a delay.
+    pub fn schedule(&mut self, delay: Duration) {
+        self.next = Some(Instant::now() + delay);
     }
 
-    /// A call was made that asks for news after a revision and may wait there for some.
+    /// Adds a call in flight, which asks for changes after a revision and waits at the source for
+    /// up to `max_wait` until there are some.
     pub fn begin(
         &mut self,
         after_revision: Option<u64>,
@@ -138,7 +145,7 @@
         answer: LocalBoxFuture<'a, Result<T, SourceError>>,
     ) {
         let due = Instant::now() + max_wait;
-        self.under_way.push(Call {
+        self.in_flight.push(Call {
             ended: EndedCall {
                 after_revision,
                 transfer,
@@ -147,116 +154,120 @@
             },
             answer,
             late: false,
-            was_spared: false,
+            had_stall_extension: false,
         });
     }
 
-    /// Whether an answer is arriving.
+    /// Whether an answer has begun to arrive.
     pub fn has_arriving_answer(&self) -> bool {
-        let mut calls = self.under_way.iter();
+        let mut calls = self.in_flight.iter();
         calls.any(|call| call.ended.transfer.bytes() > 0)
     }
 
-    /// An answer was taken. What the calls under way would tell is known, and the next one is due
-    /// after a pause, if there is to be one; but a look that `told_nothing` new leaves the read that
-    /// waits alone.
-    pub fn on_answer(&mut self, answered: &EndedCall, told_nothing: bool, pause: Option<Duration>) {
-        if answered.max_wait.is_zero() && told_nothing && self.is_any_waiting() {
+    /// Call this once an answer was applied. It drops the calls in flight, since their answers
+    /// would bring nothing new, and schedules the next one after a delay, if there is to be one. A
+    /// poll that brought no changes (`was_empty`) does not affect a call that waits at the source.
+    pub fn on_answer(&mut self, answered: &EndedCall, was_empty: bool, delay: Option<Duration>) {
+        if answered.max_wait.is_zero() && was_empty && self.is_any_waiting() {
             return;
         }
-        self.under_way.clear();
-        self.reschedule(pause);
+        self.in_flight.clear();
+        self.reschedule(delay);
     }
 
-    /// The next call is due after a pause, if there is to be one.
-    pub fn reschedule(&mut self, pause: Option<Duration>) {
-        self.next = pause.map(|pause| Instant::now() + pause);
+    /// Schedules the next call after a delay; `None` for no call.
+    pub fn reschedule(&mut self, delay: Option<Duration>) {
+        self.next = delay.map(|delay| Instant::now() + delay);
     }
 
-    /// Whether a call that is not late waits there for news.
+    /// Whether a call that is not late waits at the source for changes.
     fn is_any_waiting(&self) -> bool {
-        let mut calls = self.under_way.iter();
+        let mut calls = self.in_flight.iter();
         calls.any(|call| !call.late && !call.ended.max_wait.is_zero())
     }
 
-    /// What happens next, when answers may be late by `patience`. Nothing is lost when
-    /// this is dropped before it ends.
-    pub async fn next_event(&mut self, patience: Duration) -> CallEvent<T> {
+    /// Waits for the next event. A call counts as late once its answer is `max_lateness` overdue.
+    /// Cancel-safe: no event is lost if the future is dropped.
+    pub async fn next_event(&mut self, max_lateness: Duration) -> CallEvent<T> {
         loop {
             if self.next.is_some_and(|next| next <= Instant::now()) {
                 self.next = None;
                 return CallEvent::Due;
             }
-            let deadline = self.next_deadline(patience);
+            let deadline = self.next_deadline(max_lateness);
             tokio::select! {
                 biased;
                 event = poll_fn(|context| self.poll_calls(context)) => return event,
-                () = sleep_until(deadline) => self.forgive(deadline.elapsed(), patience),
+                () = sleep_until(deadline) => self.exclude_stall(deadline.elapsed(), max_lateness),
             }
-            if let Some(event) = self.lateness_event(patience) {
+            if let Some(event) = self.lateness_event(max_lateness) {
                 return event;
             }
         }
     }
 
-    /// This process itself was late by so much: that is no lateness of answers, which may wait to
-    /// be read. Without this a store that answered every call counted as lost whenever the process
-    /// stood still for longer than its patience, and departures were held back for 2.2 s.
-    fn forgive(&mut self, own_lateness: Duration, patience: Duration) {
-        if own_lateness < OWN_LATENESS {
+    /// Excludes a stall of this process, which made a timer `timer_lag` late, from the lateness of
+    /// answers, since these may wait to be read. Without this, a store that answered every call
+    /// counted as lost whenever the process was stalled for longer than the timeout, and removals
+    /// of back ends were held back for 2.2 s.
+    fn exclude_stall(&mut self, timer_lag: Duration, max_lateness: Duration) {
+        if timer_lag < MIN_STALL {
             return;
         }
         let now = Instant::now();
-        for call in &mut self.under_way {
+        for call in &mut self.in_flight {
             let overdue = now.saturating_duration_since(call.ended.due);
-            call.ended.due += own_lateness.min(overdue);
-            if !call.was_spared && call.quiet_since() + patience < now + OWN_LOOK {
-                // Once for each call: where timers are late all the time, a store that
-                // answers nobody still shows.
-                call.was_spared = true;
-                let spared = (now + OWN_LOOK).checked_sub(patience);
-                call.ended.due = spared.unwrap_or(now);
+            call.ended.due += timer_lag.min(overdue);
+            if !call.had_stall_extension
+                && call.no_progress_since() + max_lateness < now + STALL_CHECK_INTERVAL
+            {
+                // Once for each call, so that a store that answers nobody is still detected if
+                // timers are always late.
+                call.had_stall_extension = true;
+                let extended = (now + STALL_CHECK_INTERVAL).checked_sub(max_lateness);
+                call.ended.due = extended.unwrap_or(now);
             }
         }
     }
 
     fn poll_calls(&mut self, context: &mut Context<'_>) -> Poll<CallEvent<T>> {
-        for index in 0..self.under_way.len() {
-            let Poll::Ready(result) = self.under_way[index].answer.poll_unpin(context) else {
+        for index in 0..self.in_flight.len() {
+            let Poll::Ready(result) = self.in_flight[index].answer.poll_unpin(context) else {
                 continue;
             };
-            let call = self.under_way.remove(index);
+            let call = self.in_flight.remove(index);
             return Poll::Ready(match result {
-                Ok(news) => CallEvent::Answered(news, call.ended),
+                Ok(answer) => CallEvent::Answered(answer, call.ended),
                 Err(error) => CallEvent::Failed(error, call.ended),
             });
         }
         Poll::Pending
     }
 
-    fn lateness_event(&mut self, patience: Duration) -> Option<CallEvent<T>> {
+    fn lateness_event(&mut self, max_lateness: Duration) -> Option<CallEvent<T>> {
         let now = Instant::now();
-        let is_late = |call: &&mut Call<'_, T>| !call.late && call.quiet_since() + patience <= now;
-        if let Some(call) = self.under_way.iter_mut().find(is_late) {
+        let is_late =
+            |call: &&mut Call<'_, T>| !call.late && call.no_progress_since() + max_lateness <= now;
+        if let Some(call) = self.in_flight.iter_mut().find(is_late) {
             call.late = true;
             return Some(CallEvent::Late {
                 transfer: call.ended.transfer.clone(),
                 max_wait: call.ended.max_wait,
             });
         }
-        let dead = |call: &Call<'_, T>| call.quiet_since() + GIVE_UP <= now;
-        let index = self.under_way.iter().position(dead)?;
-        Some(CallEvent::GivenUp(self.under_way.remove(index).ended))
+        let is_dead = |call: &Call<'_, T>| call.no_progress_since() + GIVE_UP_TIMEOUT <= now;
+        let index = self.in_flight.iter().position(is_dead)?;
+        Some(CallEvent::GivenUp(self.in_flight.remove(index).ended))
     }
 
-    /// When something may be due next, if no call ends before.
-    fn next_deadline(&self, patience: Duration) -> Instant {
-        let in_time = self.under_way.iter().filter(|call| !call.late);
-        let late = in_time.map(|call| call.next_look(patience)).min();
-        let quiet = self.under_way.iter().map(Call::quiet_since).min();
-        let dead = quiet.map(|quiet| quiet + GIVE_UP);
-        let first = [self.next, late, dead].into_iter().flatten().min();
-        first.unwrap_or_else(|| Instant::now() + GIVE_UP)
+    /// When the next event other than the end of a call may be due.
+    fn next_deadline(&self, max_lateness: Duration) -> Instant {
+        let in_time = self.in_flight.iter().filter(|call| !call.late);
+        let check = in_time.map(|call| call.next_check(max_lateness)).min();
+        let earliest = self.in_flight.iter().map(Call::no_progress_since).min();
+        let give_up = earliest.map(|earliest| earliest + GIVE_UP_TIMEOUT);
+        let first = [self.next, check, give_up].into_iter().flatten().min();
+        first.unwrap_or_else(|| Instant::now() + GIVE_UP_TIMEOUT)
     }
 }
 
--- a/crates/stacktack-direct/src/client.rs
+++ b/crates/stacktack-direct/src/client.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 client connections, one by one.
+//! Single HTTP/1.1 client connections.
 //!
-//! What a connection did decides what is certain about a request, so nothing
-//! here repeats, redirects or pools. A connection that is dropped is closed at
-//! once, which is how a request under way is cancelled.
+//! Whether a request may have run depends on what happened on its connection, so nothing here
+//! retries, redirects or pools. Dropping a connection closes it at once, which cancels a request
+//! in flight.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -24,43 +24,43 @@
 use crate::transfer::Transfer;
 
 /// Time after which unacknowledged bytes break a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Largest head and unread part that are buffered for one connection, in bytes.
-const BUFFER_BYTES: usize = 64 * 1024;
+/// Maximum bytes that are buffered for one connection: the response head and unread data.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// No connection came up.
+/// Why a connection was not established.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// No answer came in time.
-    #[error("connecting took too long")]
+    /// The connection was not established in time.
+    #[error("connecting timed out")]
     Timeout,
-    /// The connection came up and was closed before anything was written.
-    #[error("the connection was turned away")]
+    /// The connection was accepted, and closed before anything was written.
+    #[error("the connection was closed on accept")]
     ClosedOnAccept,
     /// The connection was refused or failed.
     #[error("connecting failed: {0}")]
     Io(#[from] std::io::Error),
     /// The HTTP connection could not be set up.
-    #[error("the connection could not be set up: {0}")]
+    #[error("the HTTP connection could not be set up: {0}")]
     Http(#[from] hyper::Error),
 }
 
 impl ConnectError {
-    /// Whether nobody listens there.
+    /// Whether nothing listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, ConnectError::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-/// A request got no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// Nothing of it was written.
-    #[error("nothing was written")]
+    /// Nothing of the request was written.
+    #[error("nothing of the request was written")]
     NotWritten,
-    /// No answer came in time.
-    #[error("no answer came in time")]
+    /// No response came in time.
+    #[error("no response came in time")]
     TimedOut,
     /// The connection broke after something may have been written.
     #[error("the connection broke: {0}")]
@@ -74,7 +74,7 @@
     driver: Driver,
 }
 
-/// The task that drives a connection; ends with its owner.
+/// Task that drives a connection; aborted on drop.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -85,54 +85,56 @@
 }
 
 impl ClientConnection {
-    /// Connects; whoever calls bounds the time.
+    /// Connects without a timeout; the caller bounds the time.
     pub async fn connect(address: SocketAddr) -> Result<Self, ConnectError> {
-        Self::over(TcpStream::connect(address).await?).await
+        Self::handshake(TcpStream::connect(address).await?).await
     }
 
-    /// Connects within a time limit.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, ConnectError> {
-        let stream = connect(address, limit).await?;
-        Self::over(stream).await
+    /// Connects within a timeout.
+    pub async fn open(
+        address: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Result<Self, ConnectError> {
+        let stream = connect(address, connect_timeout).await?;
+        Self::handshake(stream).await
     }
 
-    /// Connects, and waits a moment for the other side to turn the connection
-    /// away: an overloaded one accepts and resets at once. Nothing has been
-    /// written then, so that this proves that nothing ran.
+    /// Connects, and waits for `check_time` whether the server closes the connection: an overloaded
+    /// one accepts and resets at once. Nothing has been written by then, which proves that nothing
+    /// ran.
     pub async fn open_with_reset_check(
         address: SocketAddr,
-        limit: Duration,
-        moment: Duration,
+        connect_timeout: Duration,
+        check_time: Duration,
     ) -> Result<Self, ConnectError> {
-        Self::over(connect_with_reset_check(address, limit, moment).await?).await
+        Self::handshake(connect_with_reset_check(address, connect_timeout, check_time).await?).await
     }
 
-    async fn over(stream: TcpStream) -> Result<Self, ConnectError> {
+    async fn handshake(stream: TcpStream) -> Result<Self, ConnectError> {
         stream.set_nodelay(true)?;
-        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_BYTES)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await?;
         let driver = Driver(actix_rt::spawn(async move {
-            // A failure reaches whoever waits for the answer.
+            // A failure also reaches the task that waits for the response.
             let _ = connection.await;
         }));
         Ok(ClientConnection { sender, driver })
     }
 
-    /// Whether the connection can take a request.
+    /// Whether the connection has neither been closed nor failed.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed() && !self.driver.0.is_finished()
     }
 
-    /// Whether the connection waits for a request: the one before is over on
-    /// both sides.
+    /// Whether the connection waits for a request: the previous one is complete in both directions.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -147,22 +149,25 @@
     }
 }
 
-/// Connects, and waits whether the other side keeps the connection for a moment.
+/// Connects, and waits for `check_time` whether the server closes the connection.
 pub(crate) async fn connect_with_reset_check(
     address: SocketAddr,
-    limit: Duration,
-    moment: Duration,
+    connect_timeout: Duration,
+    check_time: Duration,
 ) -> Result<TcpStream, ConnectError> {
-    let stream = connect(address, limit).await?;
-    if timeout(moment, stream.readable()).await.is_ok() {
+    let stream = connect(address, connect_timeout).await?;
+    if timeout(check_time, stream.readable()).await.is_ok() {
         return Err(ConnectError::ClosedOnAccept);
     }
     Ok(stream)
 }
 
-/// Connects within a time limit.
-async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, ConnectError> {
-    let stream = timeout(limit, TcpStream::connect(address))
+/// Connects within a timeout.
+async fn connect(
+    address: SocketAddr,
+    connect_timeout: Duration,
+) -> Result<TcpStream, ConnectError> {
+    let stream = timeout(connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|_| ConnectError::Timeout)??;
     Ok(stream)
@@ -177,7 +182,8 @@
     }
 }
 
-/// Sends a request and reads its whole answer; whoever calls bounds the time.
+/// Sends a request and collects the response, whose progress is recorded in `transfer`. There is
+/// no timeout: the caller bounds the time.
 pub async fn send_and_collect(
     connection: &mut ClientConnection,
     request: Request<Full<Bytes>>,
@@ -185,12 +191,12 @@
 ) -> Result<Response<Bytes>, SendError> {
     let (head, mut body) = connection.send(request).await?.into_parts();
     transfer.on_bytes(1);
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.map_err(SendError::Broken)?.into_data() {
             transfer.on_bytes(data.len());
-            whole.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         }
     }
-    Ok(Response::from_parts(head, whole.freeze()))
+    Ok(Response::from_parts(head, collected.freeze()))
 }
--- a/crates/stacktack-direct/src/datagram.rs
+++ b/crates/stacktack-direct/src/datagram.rs
@@ -1,6 +1,8 @@
-//! Datagrams between routers: news, then records of the quarantine, then how old what the sender
-//! knows is, then which answers of the store showed it, then roll-outs, where there are any. Routers that do not know a later part leave it unread, and it is absent in what they
-//! send.
+//! Encoding of the datagrams between routers.
+//!
+//! A datagram consists of gossip, quarantine records, the ages of the sender's knowledge of its
+//! sources, the latest answers of the sources and, if there are any, roll-outs. Routers of a
+//! release that does not know a later part leave it unread and do not send it.
 
 use serde::Deserialize;
 use stacktack_core::direct::peers::peer_gossip::PeerGossip;
@@ -9,82 +11,90 @@
 use stacktack_core::direct::quarantine::record::RecordGossip;
 use stacktack_core::direct::rollout::gossip::RolloutGossip;
 
-/// Most bytes of a datagram that roll-outs get.
-const ROLLOUT_BYTES: usize = 300;
+/// Maximum number of bytes of a datagram that roll-outs take.
+const MAX_ROLLOUT_BYTES: usize = 300;
 
-/// What a datagram holds.
+/// Decoded content of a datagram.
 #[derive(Debug)]
 pub struct Datagram {
-    /// News of the sender.
+    /// Gossip of the sender.
     pub gossip: PeerGossip,
-    /// What it knows of requests that end back ends.
+    /// The sender's records of requests that crash back ends.
     pub records: Vec<RecordGossip>,
-    /// How old what it knows is; nothing from a release that does not tell.
+    /// Ages of the sender's knowledge of its sources; empty from a release that does not send them.
     pub ages: SourceAges,
-    /// The last answers of the store that showed it; nothing from a release that does not tell.
+    /// Latest answers of the sources that the sender knows of; empty from a release that does not
+    /// send them.
     pub reads: SourceReads,
-    /// What it knows of roll-outs; nothing where there are none.
+    /// The sender's state of roll-outs; empty if there are none.
     pub rollouts: Vec<RolloutGossip>,
 }
 
-/// Bytes of a datagram; with fewer records where it would be too large.
+/// Encodes a datagram without roll-outs. Leaves out the last records if it would be too large, and
+/// all that follows the gossip if even that does not fit.
 pub fn encode(
-    news: &PeerGossip,
+    gossip: &PeerGossip,
     records: &[RecordGossip],
     ages: &SourceAges,
     reads: &SourceReads,
 ) -> Result<Vec<u8>, postcard::Error> {
-    let bytes = postcard::to_allocvec(news)?;
+    let bytes = postcard::to_allocvec(gossip)?;
     let ages = postcard::to_allocvec(&(ages, reads))?;
     for count in (0..=records.len()).rev() {
-        let more = postcard::to_allocvec(&records[..count])?;
-        if bytes.len() + more.len() + ages.len() <= MAX_DATAGRAM_BYTES {
-            return Ok([bytes, more, ages].concat());
+        let encoded_records = postcard::to_allocvec(&records[..count])?;
+        if bytes.len() + encoded_records.len() + ages.len() <= MAX_DATAGRAM_BYTES {
+            return Ok([bytes, encoded_records, ages].concat());
         }
     }
     Ok(bytes)
 }
 
-/// The same with roll-outs behind it, where there are any.
+/// Encodes a datagram and appends the roll-outs, if there are any.
 pub fn encode_with_rollouts(
-    news: &PeerGossip,
+    gossip: &PeerGossip,
     records: &[RecordGossip],
     ages: &SourceAges,
     reads: &SourceReads,
     rollouts: &[RolloutGossip],
 ) -> Result<Vec<u8>, postcard::Error> {
-    let bytes = encode(news, records, ages, reads)?;
-    // Parts are read one after the other: without those before there is no place for this one.
-    if rollouts.is_empty() || bytes.len() == postcard::to_allocvec(news)?.len() {
+    let bytes = encode(gossip, records, ages, reads)?;
+    // The parts are read in order, so roll-outs can follow only if the other parts are present.
+    if rollouts.is_empty() || bytes.len() == postcard::to_allocvec(gossip)?.len() {
         return Ok(bytes);
     }
-    let room = MAX_DATAGRAM_BYTES.saturating_sub(bytes.len());
-    let part = fitting(rollouts.to_vec(), room.min(ROLLOUT_BYTES))?;
+    let free_bytes = MAX_DATAGRAM_BYTES.saturating_sub(bytes.len());
+    let part = encode_rollouts(rollouts.to_vec(), free_bytes.min(MAX_ROLLOUT_BYTES))?;
     Ok([bytes, part].concat())
 }
 
-/// Roll-outs in so many bytes: counts of routers give way first.
-fn fitting(mut rollouts: Vec<RolloutGossip>, bytes: usize) -> Result<Vec<u8>, postcard::Error> {
+/// Encodes roll-outs in at most `max_bytes`: response counts of routers are left out first, then
+/// whole roll-outs.
+fn encode_rollouts(
+    mut rollouts: Vec<RolloutGossip>,
+    max_bytes: usize,
+) -> Result<Vec<u8>, postcard::Error> {
     loop {
         let part = postcard::to_allocvec(&rollouts)?;
-        if part.len() <= bytes {
+        if part.len() <= max_bytes {
             return Ok(part);
         }
-        let longest = rollouts.iter_mut().max_by_key(|news| news.counts.len());
-        let dropped = longest.and_then(|news| news.counts.pop());
+        let longest = rollouts
+            .iter_mut()
+            .max_by_key(|rollout| rollout.counts.len());
+        let dropped = longest.and_then(|rollout| rollout.counts.pop());
         if dropped.is_none() && rollouts.pop().is_none() {
             return Ok(Vec::new());
         }
     }
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, postcard::Error> {
     let (gossip, rest) = postcard::take_from_bytes::<PeerGossip>(bytes)?;
-    let (records, rest) = later_part::<Vec<RecordGossip>>(rest)?;
-    let (ages, rest) = later_part::<SourceAges>(rest)?;
-    let (reads, rest) = later_part::<SourceReads>(rest)?;
-    let (rollouts, _) = later_part::<Vec<RolloutGossip>>(rest)?;
+    let (records, rest) = decode_optional_part::<Vec<RecordGossip>>(rest)?;
+    let (ages, rest) = decode_optional_part::<SourceAges>(rest)?;
+    let (reads, rest) = decode_optional_part::<SourceReads>(rest)?;
+    let (rollouts, _) = decode_optional_part::<Vec<RolloutGossip>>(rest)?;
     Ok(Datagram {
         gossip,
         records,
@@ -94,8 +104,8 @@
     })
 }
 
-/// A part that earlier releases do not send, and what is behind it.
-fn later_part<'a, T: Default + Deserialize<'a>>(
+/// Decodes a part that earlier releases do not send, and returns it with the bytes after it.
+fn decode_optional_part<'a, T: Default + Deserialize<'a>>(
     bytes: &'a [u8],
 ) -> Result<(T, &'a [u8]), postcard::Error> {
     if bytes.is_empty() {
--- a/crates/stacktack-direct/src/gossip.rs
+++ b/crates/stacktack-direct/src/gossip.rs
@@ -1,4 +1,4 @@
-//! News between routers: datagrams both ways.
+//! Sends gossip to other routers and receives theirs, as UDP datagrams.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,21 +14,21 @@
 use crate::followers::Dependency;
 use crate::router::Router;
 
-/// Time between rounds of news.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between ticks, in each of which the next peers of a gossip round receive a datagram.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two pushes: what came meanwhile goes with the second one.
-const BETWEEN_PUSHES: Duration = Duration::from_millis(20);
+/// Minimum time between two pushes: changes that arrive meanwhile go out with the second one.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Suspected back ends that are told to peers.
-const SUSPECTS_TOLD: usize = 24;
+/// Maximum number of suspected back ends in one datagram.
+const MAX_SUSPECTS: usize = 24;
 
-/// Takes datagrams of peers for ever.
+/// Receives and applies datagrams from peers; never returns.
 pub async fn receive(router: Rc<Router>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            sleep(INTERVAL).await;
+            sleep(TICK_INTERVAL).await;
             continue;
         };
         match decode(&buffer[..length]) {
@@ -38,59 +38,59 @@
                 if router.reads_in_time() {
                     router.take_ages(&datagram.gossip, &datagram.ages, &datagram.reads);
                 }
-                take_records(&router, &datagram.records);
+                merge_records(&router, &datagram.records);
                 router.take_rollout_news(&datagram.rollouts);
             }
-            Err(error) => log::debug!(target: "peers", "a datagram does not parse: {error}"),
+            Err(error) => log::debug!(target: "peers", "cannot decode datagram: {error}"),
         }
     }
 }
 
-/// Takes what a peer tells of itself and of others.
-pub fn merge_gossip(router: &Router, news: &PeerGossip) {
+/// Merges a peer's gossip about itself and about other routers and back ends.
+pub fn merge_gossip(router: &Router, gossip: &PeerGossip) {
     let now = router.now();
     router.note_heard();
-    let joined = router.peers.borrow_mut().receive(news, now);
+    let joined = router.peers.borrow_mut().receive(gossip, now);
     let has_all = router.version() > 0 && router.directory_revision() > 0;
     if has_all && router.peers.borrow().has_uninitialized_peers() {
         router.newcomer_waits.notify_one();
     }
-    if news.configuration > router.version() || news.directory > router.directory_revision() {
+    if gossip.configuration > router.version() || gossip.directory > router.directory_revision() {
         router.peer_knows_more.notify_waiters();
     }
     if joined {
         log::info!(
             target: "peers",
             "peer={} joined=true incarnation={} configuration={} directory={}",
-            news.from,
-            news.incarnation,
-            news.configuration,
-            news.directory,
+            gossip.from,
+            gossip.incarnation,
+            gossip.configuration,
+            gossip.directory,
         );
     }
     let mut back_ends = router.back_ends.borrow_mut();
-    back_ends.merge_reported_loads(&news.reported_loads, now);
+    back_ends.merge_reported_loads(&gossip.reported_loads, now);
     drop(back_ends);
-    for drain in &news.zone_drains {
+    for drain in &gossip.zone_drains {
         router.take_zone_drain(drain, "peer");
     }
-    if !news.suspects.is_empty() {
-        router.take_accusations(news.from, &news.suspects);
+    if !gossip.suspects.is_empty() {
+        router.take_accusations(gossip.from, &gossip.suspects);
     }
-    if news.prefix_locations.is_empty() {
+    if gossip.prefix_locations.is_empty() {
         return;
     }
     let back_ends = router.back_ends.borrow();
-    let mut places = router.places.borrow_mut();
-    for (part, short) in &news.prefix_locations {
-        if let Some(id) = back_ends.resolve_short_id(*short) {
-            places.record(*part, id, now);
+    let mut locations = router.places.borrow_mut();
+    for (part, short_id) in &gossip.prefix_locations {
+        if let Some(id) = back_ends.resolve_short_id(*short_id) {
+            locations.record(*part, id, now);
         }
     }
 }
 
-/// Takes what a peer knows of requests that end back ends.
-fn take_records(router: &Router, records: &[RecordGossip]) {
+/// Merges a peer's records of requests that crash back ends.
+fn merge_records(router: &Router, records: &[RecordGossip]) {
     if records.is_empty() {
         return;
     }
@@ -102,60 +102,62 @@
     }
 }
 
-/// Tells peers, and takes over what they told, for ever.
+/// Runs gossip rounds: sends datagrams at each tick and updates the state that depends on what
+/// peers gossiped; never returns.
 pub async fn run_rounds(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
-    tell(&router, &socket, &store).await;
+    send_tick(&router, &socket, &store).await;
     loop {
-        let due = Instant::now() + INTERVAL;
-        sleep(INTERVAL).await;
+        let due = Instant::now() + TICK_INTERVAL;
+        sleep(TICK_INTERVAL).await;
         router.note_lag(due.elapsed());
         router.note_running();
         router.look_for_suspension();
-        tell(&router, &socket, &store).await;
+        send_tick(&router, &socket, &store).await;
         router.take_peer_loads();
         router.update_cold();
         router.judge_rollouts();
     }
 }
 
-/// Tells a few peers at once what is new here, for ever.
+/// Pushes changes to a few peers at once, and bootstrap pushes to uninitialized peers; never
+/// returns.
 pub async fn push_updates(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<Dependency>) {
     loop {
         let spread = tokio::select! {
             () = router.push_due.notified() => true,
             () = router.newcomer_waits.notified() => false,
         };
-        let own = own_news(&router, &store);
+        let own = own_gossip(&router, &store);
         let outgoing = {
             let mut peers = router.peers.borrow_mut();
             peers.push(&own, spread, &mut rand::rng())
         };
         send(&router, &socket, outgoing).await;
-        sleep(BETWEEN_PUSHES).await;
+        sleep(MIN_PUSH_INTERVAL).await;
     }
 }
 
-fn own_news(router: &Router, store: &Dependency) -> OwnGossip {
+fn own_gossip(router: &Router, store: &Dependency) -> OwnGossip {
     let now = router.now();
-    let all_loads = router.peers.borrow().has_short_round();
+    let has_short_round = router.peers.borrow().has_short_round();
     OwnGossip {
         configuration: router.version(),
         directory: router.directory_revision(),
         serving: router.is_ready(),
         directory_steady: store.is_steady(now) && router.directory_is_watched(),
-        in_flight: router.back_ends.borrow().own_loads(all_loads, now),
-        reported_loads: if all_loads {
+        in_flight: router.back_ends.borrow().own_loads(has_short_round, now),
+        reported_loads: if has_short_round {
             Vec::new()
         } else {
             router.back_ends.borrow().reported_loads(now)
         },
-        suspects: router.back_ends.borrow().suspects(SUSPECTS_TOLD),
+        suspects: router.back_ends.borrow().suspects(MAX_SUSPECTS),
         zone_drains: router.zone_drains.borrow().gossip(),
     }
 }
 
-async fn tell(router: &Router, socket: &UdpSocket, store: &Dependency) {
-    let own = own_news(router, store);
+async fn send_tick(router: &Router, socket: &UdpSocket, store: &Dependency) {
+    let own = own_gossip(router, store);
     let outgoing = router.peers.borrow_mut().tick(&own, router.now());
     send(router, socket, outgoing).await;
 }
@@ -170,12 +172,12 @@
         let bytes = match bytes {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(target: "peers", "a datagram cannot be written: {error}");
+                log::error!(target: "peers", "cannot encode datagram: {error}");
                 continue;
             }
         };
         router.peers.borrow_mut().on_sent(bytes.len());
-        // A datagram that cannot be sent is one that is lost.
+        // A datagram that cannot be sent counts as lost, like any other lost datagram.
         let _ = socket.send_to(&bytes, datagram.to).await;
     }
 }
--- a/crates/stacktack-direct/src/idle_connections.rs
+++ b/crates/stacktack-direct/src/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends that rest between requests.
+//! Pool of connections to back ends that are idle between requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,61 +6,62 @@
 
 use crate::client::ClientConnection;
 
-/// Rest that a connection is trusted for when the back end tells none.
-const DEFAULT_REST: Duration = Duration::from_secs(2);
+/// Time for which an idle connection is used if the back end reported no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Share of the told rest after which a connection is not used any more.
-const REST_SHARE: f64 = 0.6;
+/// Fraction of the reported keep-alive timeout after which an idle connection is no longer used.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// A back end's requests at once for each connection that rests there: it takes
-/// only so many connections from all routers, and turns more away.
-const SLOTS_PER_RESTING: u32 = 8;
+/// Slots of a back end per idle connection that a router keeps to it. A back end accepts a limited
+/// number of connections from all routers together and closes further ones.
+const SLOTS_PER_IDLE_CONNECTION: u32 = 8;
 
-/// Connections that rest for any back end.
-const LEAST_RESTING: usize = 2;
+/// Number of idle connections that a router may keep to a back end however few slots it has.
+const MIN_IDLE_CONNECTIONS: usize = 2;
 
-struct Resting {
+struct IdleConnection {
     connection: ClientConnection,
-    until: Instant,
+    expires: Instant,
 }
 
-/// Resting connections by back-end address.
+/// Idle connections by back-end address.
 #[derive(Default)]
 pub struct IdleConnections {
-    by_address: HashMap<SocketAddr, Vec<Resting>>,
+    by_address: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
-    /// Takes the connection that rested last and still looks sound.
+    /// Takes the most recently added connection that is still usable. Closes unusable ones on the
+    /// way.
     pub fn take(&mut self, address: SocketAddr, now: Instant) -> Option<ClientConnection> {
-        let resting = self.by_address.get_mut(&address)?;
-        while let Some(last) = resting.pop() {
-            if now < last.until && last.connection.is_open() && last.connection.is_ready() {
+        let idle = self.by_address.get_mut(&address)?;
+        while let Some(last) = idle.pop() {
+            if now < last.expires && last.connection.is_open() && last.connection.is_ready() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Puts a connection to rest, unless enough rest there; `told` is the rest
-    /// in seconds that the back end allows.
+    /// Adds an idle connection to a back end with `slots`, or closes it if there are enough.
+    /// `keep_alive_seconds` is the keep-alive timeout that the back end reported.
     pub fn put(
         &mut self,
         address: SocketAddr,
         slots: u32,
         connection: ClientConnection,
-        told: Option<u64>,
+        keep_alive_seconds: Option<u64>,
         now: Instant,
     ) {
-        let rest = told.map_or(DEFAULT_REST, |seconds| {
-            Duration::from_secs(seconds).mul_f64(REST_SHARE)
+        let timeout = keep_alive_seconds.map_or(DEFAULT_IDLE_TIMEOUT, |seconds| {
+            Duration::from_secs(seconds).mul_f64(KEEP_ALIVE_FRACTION)
         });
-        let resting = self.by_address.entry(address).or_default();
-        let most = LEAST_RESTING.max((slots / SLOTS_PER_RESTING) as usize);
-        if resting.len() < most {
-            resting.push(Resting {
+        let idle = self.by_address.entry(address).or_default();
+        let max_idle = MIN_IDLE_CONNECTIONS.max((slots / SLOTS_PER_IDLE_CONNECTION) as usize);
+        if idle.len() < max_idle {
+            idle.push(IdleConnection {
                 connection,
-                until: now + rest,
+                expires: now + timeout,
             });
         }
     }
@@ -70,11 +71,11 @@
         self.by_address.clear();
     }
 
-    /// Closes connections that rested too long.
+    /// Closes connections that were idle for too long or are no longer open.
     pub fn expire(&mut self, now: Instant) {
-        self.by_address.retain(|_, resting| {
-            resting.retain(|one| now < one.until && one.connection.is_open());
-            !resting.is_empty()
+        self.by_address.retain(|_, idle| {
+            idle.retain(|one| now < one.expires && one.connection.is_open());
+            !idle.is_empty()
         });
     }
 }
--- a/crates/stacktack-direct/src/peer_updates.rs
+++ b/crates/stacktack-direct/src/peer_updates.rs
@@ -1,5 +1,5 @@
-//! What routers hand to each other: the configuration, and what changed in the
-//! directory. `followers` decides when to ask whom.
+//! Transfer of the configuration, of directory changes and of router lists between routers over
+//! HTTP. `followers` decides when to fetch from which peer.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -20,51 +20,56 @@
 use crate::router::Router;
 use crate::transfer::Transfer;
 
-/// Longest time for a connection to a peer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Path of the documents that peers fetch, with the version of their layout: a router that
-/// reads another layout gets 404 and not rows that mean something else to it.
+/// Path of the documents that peers fetch, with the version of their layout: a router that reads
+/// another layout gets 404 instead of data that it would misinterpret.
 const PATH: &str = "/knowledge/4";
 
-/// The same with entries of the directory in full, for routers of the release before.
-const FULL_PATH: &str = "/knowledge/3";
+/// Path of the documents for routers of the previous release, in which directory entries are not
+/// compacted.
+const PATH_V3: &str = "/knowledge/3";
 
-/// Names in its query.
+/// Query parameter with the version of the configuration in force at the asking router; 0 for none.
 const VERSION: &str = "version";
+
+/// Query parameter with the revision up to which the asking router knows the directory; 0 for none.
 const REVISION: &str = "revision";
+
+/// Query parameter that asks for the list of routers. Its value is a number without meaning.
 const ROUTERS: &str = "routers";
 
-/// Routers that are taken from one list: three times the largest fleet.
-const MOST_ROUTERS: usize = 3000;
+/// Maximum number of routers in a list from a peer: three times the largest fleet.
+const MAX_ROUTERS: usize = 3000;
 
-/// What a router hands to a peer that asks.
+/// Response of a router to a peer's [`PeerQuery`] for the configuration or the directory.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PeerUpdate {
-    /// A [`NewerConfiguration`] as JSON, if it is newer than the peer's.
+    /// A [`NewerConfiguration`] as JSON, if the configuration is newer than the peer's.
     pub configuration: Option<Vec<u8>>,
-    /// What changed in the directory since the peer's revision, if it was asked for.
+    /// Changes of the directory since the peer's revision, if the peer asked for them.
     pub directory: Option<DirectoryDelta>,
 }
 
-/// [`PeerUpdate`] on the wire.
+/// [`PeerUpdate`] as it is encoded in the current layout.
 #[derive(Debug, Serialize, Deserialize)]
 struct CompactPeerUpdate {
     configuration: Option<Vec<u8>>,
     directory: Option<CompactDelta>,
 }
 
-/// A configuration that is newer than what a peer has.
+/// A configuration that is newer than that of the peer that asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum NewerConfiguration {
-    /// What changed since the peer's version.
+    /// Changes since the peer's version.
     Changes(ConfigurationChanges),
-    /// All of it, for a peer whose version is not remembered.
+    /// The whole configuration, for a peer whose version is not in the history.
     Whole(TrafficDocument),
 }
 
 impl NewerConfiguration {
-    /// The version that it leads to.
+    /// Version of the newer configuration.
     pub(crate) fn version(&self) -> u64 {
         match self {
             NewerConfiguration::Changes(changes) => changes.version,
@@ -72,8 +77,8 @@
         }
     }
 
-    /// The configuration itself, for a router that has `before`; `None` if the changes
-    /// are from another version.
+    /// Returns the newer configuration, for a router that has `before`; `None` if the changes
+    /// apply to another version.
     pub(crate) fn apply_to(
         self,
         before: Option<&TrafficConfiguration>,
@@ -85,30 +90,33 @@
     }
 }
 
-/// What a router asks a peer for, by what it has itself.
+/// What a router asks a peer for, including what it has already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerQuery {
-    /// The configuration beyond the version in force; 0 for none.
+    /// The configuration, if it is newer than this version in force at the asking router; 0 if it
+    /// has none.
     Configuration(u64),
-    /// The directory beyond the newest change that was heard.
+    /// Changes of the directory after this revision, up to which the asking router knows it; 0 if
+    /// it has none.
     Directory(u64),
-    /// All routers that were heard lately.
+    /// All routers that are live according to the peer.
     Routers,
 }
 
 impl PeerQuery {
-    /// Path and query that ask for more.
+    /// Path and query of the HTTP request.
     pub fn path_and_query(self) -> String {
         format!("{PATH}?{}", self.query())
     }
 
-    /// The same for a router of the release before.
+    /// Path and query of the HTTP request to a router of the previous release.
     pub fn path_and_query_v3(self) -> String {
-        format!("{FULL_PATH}?{}", self.query())
+        format!("{PATH_V3}?{}", self.query())
     }
 
-    /// Whole documents of the kind that a router which starts asks for; `None` for one that asks for changes.
-    fn hand_overs(self, router: &Router) -> Option<&RefCell<SnapshotTransfers>> {
+    /// Limit that applies if the asking router has nothing yet and will get a snapshot; `None` if
+    /// it asks for changes or for routers.
+    fn snapshot_transfers(self, router: &Router) -> Option<&RefCell<SnapshotTransfers>> {
         match self {
             PeerQuery::Configuration(0) => Some(&router.configurations_handed),
             PeerQuery::Directory(0) => Some(&router.directories_handed),
@@ -124,7 +132,7 @@
         }
     }
 
-    fn read(query: &str) -> Option<Self> {
+    fn parse(query: &str) -> Option<Self> {
         let (name, number) = query.split_once('=')?;
         let number = number.parse().ok()?;
         match name {
@@ -137,7 +145,7 @@
 }
 
 impl PeerUpdate {
-    /// Reads a peer's answer.
+    /// Decodes a peer's response in the current layout.
     pub fn decode(body: &[u8]) -> Result<Self, SourceError> {
         let compact: CompactPeerUpdate =
             postcard::from_bytes(body).map_err(|_| SourceError::Malformed)?;
@@ -151,24 +159,25 @@
         })
     }
 
-    /// Reads the answer of a router of the release before.
+    /// Decodes the response of a router of the previous release.
     pub fn decode_v3(body: &[u8]) -> Result<Self, SourceError> {
         postcard::from_bytes(body).map_err(|_| SourceError::Malformed)
     }
 }
 
-/// How routers ask each other.
+/// Fetches updates from other routers.
 pub trait PeerSource {
-    /// What a peer knows beyond `known`; notes in `transfer` what arrives. Whoever
-    /// calls bounds the time by dropping the call.
+    /// Fetches what a peer has beyond `query` and records the progress of the response in
+    /// `transfer`. There is no timeout: the caller drops the future to end the call.
     fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>>;
 
-    /// All routers that a peer has heard lately. A peer of an earlier release tells none.
+    /// Fetches the addresses of all routers that are live according to a peer. By default the call
+    /// fails like one to a peer of an earlier release, which does not serve the list.
     fn routers(
         &self,
         _peer: SocketAddr,
@@ -178,23 +187,23 @@
     }
 }
 
-/// Peers that are asked over HTTP.
+/// [`PeerSource`] over HTTP.
 pub struct HttpPeers;
 
 impl PeerSource for HttpPeers {
     fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         Box::pin(async move {
-            match ask(peer, &known.path_and_query(), &transfer).await {
+            match fetch(peer, &query.path_and_query(), &transfer).await {
                 Err(SourceError::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => {
-                    let body = ask(peer, &known.path_and_query_v3(), &transfer).await?;
+                    let body = fetch(peer, &query.path_and_query_v3(), &transfer).await?;
                     PeerUpdate::decode_v3(&body)
                 }
-                answer => PeerUpdate::decode(&answer?),
+                body => PeerUpdate::decode(&body?),
             }
         })
     }
@@ -205,20 +214,20 @@
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<Vec<SocketAddr>, SourceError>> {
         Box::pin(async move {
-            // Of one layout in both releases.
+            // The list has the same layout in both releases, and both serve this path.
             let path_and_query = PeerQuery::Routers.path_and_query_v3();
-            decode_routers(&ask(peer, &path_and_query, &transfer).await?)
+            decode_routers(&fetch(peer, &path_and_query, &transfer).await?)
         })
     }
 }
 
-/// Asks a peer; its answer as it is.
-async fn ask(
+/// Fetches a document from a peer and returns it undecoded.
+async fn fetch(
     peer: SocketAddr,
     path_and_query: &str,
     transfer: &Transfer,
 ) -> Result<Bytes, SourceError> {
-    let mut connection = ClientConnection::open(peer, CONNECT_LIMIT)
+    let mut connection = ClientConnection::open(peer, CONNECT_TIMEOUT)
         .await
         .map_err(|_| SourceError::Unreached)?;
     let mut request = Request::new(Bytes::new().into());
@@ -226,120 +235,124 @@
     let host = hyper::header::HeaderValue::from_str(&peer.to_string());
     let host = host.map_err(|_| SourceError::Malformed)?;
     request.headers_mut().insert(hyper::header::HOST, host);
-    let answer = send_and_collect(&mut connection, request, transfer).await?;
-    match answer.status() {
-        StatusCode::OK => Ok(answer.into_body()),
+    let response = send_and_collect(&mut connection, request, transfer).await?;
+    match response.status() {
+        StatusCode::OK => Ok(response.into_body()),
         StatusCode::SERVICE_UNAVAILABLE => Err(SourceError::NoRoom),
         status => Err(SourceError::Refused(status.as_u16())),
     }
 }
 
-/// Reads a list of routers; one that is longer than any fleet is none.
+/// Decodes a list of routers; one that is longer than any fleet counts as malformed.
 pub fn decode_routers(body: &[u8]) -> Result<Vec<SocketAddr>, SourceError> {
     let routers: Vec<SocketAddr> =
         postcard::from_bytes(body).map_err(|_| SourceError::Malformed)?;
-    if routers.len() > MOST_ROUTERS {
+    if routers.len() > MAX_ROUTERS {
         return Err(SourceError::Malformed);
     }
     Ok(routers)
 }
 
-/// Answers a peer with what it lacks; the query says what it has
-/// ([`PeerQuery::path_and_query`]).
+/// Builds the response to a peer's request, with what that peer lacks. The target of the request
+/// is a [`PeerQuery::path_and_query`] of this or the previous release.
 pub fn respond_to_peer(router: &Router, path_and_query: &str) -> (StatusCode, Bytes) {
-    let asked = path_and_query.split_once('?');
-    let asked = asked.filter(|(path, _)| [PATH, FULL_PATH].contains(path));
-    let Some((path, known)) = asked.and_then(|(path, query)| Some((path, PeerQuery::read(query)?)))
+    let target = path_and_query.split_once('?');
+    let target = target.filter(|(path, _)| [PATH, PATH_V3].contains(path));
+    let Some((path, query)) =
+        target.and_then(|(path, query)| Some((path, PeerQuery::parse(query)?)))
     else {
         return (StatusCode::NOT_FOUND, Bytes::new());
     };
-    let knowledge = match known {
+    let update = match query {
         PeerQuery::Configuration(version) => PeerUpdate {
             configuration: newer_configuration(router, version),
             directory: None,
         },
         PeerQuery::Directory(revision) => PeerUpdate {
             configuration: None,
-            directory: Some(changed_directory(router, revision)),
+            directory: Some(directory_changes(router, revision)),
         },
-        PeerQuery::Routers => return written(&router.peers.borrow().live_routers()),
+        PeerQuery::Routers => return encoded_response(&router.peers.borrow().live_routers()),
     };
-    if path == FULL_PATH {
-        return written(&knowledge);
+    if path == PATH_V3 {
+        return encoded_response(&update);
     }
-    written(&CompactPeerUpdate {
-        configuration: knowledge.configuration,
-        directory: knowledge.directory.map(CompactDelta::from),
+    encoded_response(&CompactPeerUpdate {
+        configuration: update.configuration,
+        directory: update.directory.map(CompactDelta::from),
     })
 }
 
-/// A whole document on its way to a peer that starts; over when it is dropped.
+/// A snapshot transfer in progress to a peer that starts. It counts against the limit on such
+/// transfers until it is dropped.
 pub struct SnapshotTransferGuard {
     router: Rc<Router>,
-    known: PeerQuery,
+    query: PeerQuery,
     number: u64,
 }
 
 impl Drop for SnapshotTransferGuard {
     fn drop(&mut self) {
-        if let Some(handed) = self.known.hand_overs(&self.router) {
-            handed.borrow_mut().end(self.number);
+        if let Some(transfers) = self.query.snapshot_transfers(&self.router) {
+            transfers.borrow_mut().end(self.number);
         }
     }
 }
 
-/// Answers a peer at an address as [`respond_to_peer`] does; one that starts and finds no room is to ask
-/// another one. The answer is on its way for as long as the last part is kept.
+/// Builds the response to a request of the peer at an address, like [`respond_to_peer`], within
+/// the limit on snapshot transfers: a peer that asks for a snapshot above the limit gets status
+/// 503, upon which it asks another router. Keep the guard for as long as the response is in
+/// transit.
 pub fn serve_peer(
     router: &Rc<Router>,
     peer: IpAddr,
     path_and_query: &str,
 ) -> (StatusCode, Bytes, Option<SnapshotTransferGuard>) {
     let query = path_and_query.split_once('?').map(|(_, query)| query);
-    let known = query.and_then(PeerQuery::read);
-    let handed = known.and_then(|known| Some((known, known.hand_overs(router)?)));
-    let Some((known, handed)) = handed else {
+    let query = query.and_then(PeerQuery::parse);
+    let snapshot = query.and_then(|query| Some((query, query.snapshot_transfers(router)?)));
+    let Some((query, transfers)) = snapshot else {
         let (status, body) = respond_to_peer(router, path_and_query);
         return (status, body, None);
     };
-    let far = router.peers.borrow().remote_zone_of(peer);
-    let Some(number) = handed.borrow_mut().begin(far, router.now()) else {
+    let remote_zone = router.peers.borrow().remote_zone_of(peer);
+    let Some(number) = transfers.borrow_mut().begin(remote_zone, router.now()) else {
         return (StatusCode::SERVICE_UNAVAILABLE, Bytes::new(), None);
     };
-    let under_way = SnapshotTransferGuard {
+    let guard = SnapshotTransferGuard {
         router: router.clone(),
-        known,
+        query,
         number,
     };
     let (status, body) = respond_to_peer(router, path_and_query);
-    handed.borrow_mut().set_snapshot_bytes(body.len());
-    (status, body, Some(under_way))
+    transfers.borrow_mut().set_snapshot_bytes(body.len());
+    (status, body, Some(guard))
 }
 
-fn written<T: Serialize>(answer: &T) -> (StatusCode, Bytes) {
-    match postcard::to_allocvec(answer) {
+fn encoded_response<T: Serialize>(document: &T) -> (StatusCode, Bytes) {
+    match postcard::to_allocvec(document) {
         Ok(body) => (StatusCode::OK, Bytes::from(body)),
         Err(error) => {
-            log::error!(target: "peers", "an answer cannot be written: {error}");
+            log::error!(target: "peers", "cannot encode response to peer: {error}");
             (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
         }
     }
 }
 
 fn newer_configuration(router: &Router, version: u64) -> Option<Vec<u8>> {
-    let known = router.configuration.borrow().clone()?;
-    if known.version <= version {
+    let current = router.configuration.borrow().clone()?;
+    if current.version <= version {
         return None;
     }
     let history = router.configuration_history.borrow();
-    let newer = match history.changes_from(version, &known) {
+    let newer = match history.changes_from(version, &current) {
         Some(changes) => NewerConfiguration::Changes(changes),
-        None => NewerConfiguration::Whole(TrafficDocument::from(known.as_ref())),
+        None => NewerConfiguration::Whole(TrafficDocument::from(current.as_ref())),
     };
     serde_json::to_vec(&newer).ok()
 }
 
-fn changed_directory(router: &Router, revision: u64) -> DirectoryDelta {
+fn directory_changes(router: &Router, revision: u64) -> DirectoryDelta {
     let back_ends = router.back_ends.borrow();
     back_ends.changes_after(revision, router.directory_revision(), router.now())
 }
--- a/crates/stacktack-direct/src/server.rs
+++ b/crates/stacktack-direct/src/server.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: one task each.
+//! HTTP servers: callers' connections, with one task each, and the endpoints for peers,
+//! readiness and metrics.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -24,24 +25,23 @@
 use crate::router::{Phase, Router};
 use crate::unread::PassedAnswer;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Pause after a failed accept, for descriptors to come free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, in which file descriptors may become free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time that a connection has for its request when it came up while the router
-/// drains.
-const LATE_CALLER: Duration = Duration::from_millis(500);
+/// Time that a connection has for its request if it was accepted while the router drains.
+const LATE_CONNECTION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between looks at whether another router serves.
-const TAKE_OVER_LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks whether another router serves.
+const SERVING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Largest head that is buffered for one connection, in bytes, unless the
-/// configuration allows more.
-const BUFFER_BYTES: usize = 32 * 1024;
+/// Maximum bytes that are buffered for one connection, unless the configuration allows larger
+/// request heads.
+const DEFAULT_MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Listens on an address.
+/// Opens a listener on an IPv4 address.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -49,45 +49,45 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts callers until the process ends. While it drains and another router
-/// serves, its address is closed: a refused connection sends a caller on at
-/// once, while an answer would cost it one of its tries. While nobody serves, who
-/// comes is told so.
+/// Accepts callers until the process ends. While this router drains and another one serves, the
+/// listener is closed: a refused connection makes a caller try another router at once, whereas a
+/// refusal over HTTP would use up one of its tries. While no other router serves, the listener is
+/// open and callers get a refusal.
 pub async fn accept_callers(router: Rc<Router>, mut listener: TcpListener) {
     loop {
         tokio::select! {
-            () = accept_from(&router, &listener) => {}
-            () = others_take_over(&router) => {}
+            () = accept_connections(&router, &listener) => {}
+            () = wait_until_others_serve(&router) => {}
         }
         drop(listener);
         listener = loop {
-            nobody_serves(&router).await;
+            wait_until_none_serves(&router).await;
             match listen(router.settings.callers) {
                 Ok(listener) => break listener,
-                Err(error) => log::warn!(target: "callers", "listening again failed: {error}"),
+                Err(error) => log::warn!(target: "callers", "cannot reopen the listener: {error}"),
             }
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
         };
         log::info!(target: "callers", "listening=true cause=nobody_serves");
     }
 }
 
-async fn accept_from(router: &Rc<Router>, listener: &TcpListener) {
+async fn accept_connections(router: &Rc<Router>, listener: &TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 actix_rt::spawn(serve_caller(router.clone(), stream));
             }
             Err(error) => {
-                log::warn!(target: "callers", "accepting failed: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!(target: "callers", "cannot accept a connection: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Waits until this router drains and another one serves.
-async fn others_take_over(router: &Router) {
+async fn wait_until_others_serve(router: &Router) {
     let mut phase = router.phase.subscribe();
     if phase
         .wait_for(|phase| *phase >= Phase::Draining)
@@ -97,46 +97,47 @@
         return;
     }
     while !router.peers.borrow().any_serving() {
-        sleep(TAKE_OVER_LOOK).await;
+        sleep(SERVING_CHECK_INTERVAL).await;
     }
     log::info!(target: "callers", "listening=false cause=others_serve");
 }
 
 /// Waits until no other router serves.
-async fn nobody_serves(router: &Router) {
+async fn wait_until_none_serves(router: &Router) {
     while router.peers.borrow().any_serving() {
-        sleep(TAKE_OVER_LOOK).await;
+        sleep(SERVING_CHECK_INTERVAL).await;
     }
 }
 
-/// Requests under way on one connection and the last change of that.
+/// Whether a request is in flight on a connection, and when that last changed.
 struct Activity {
     router: Rc<Router>,
-    under_way: Cell<bool>,
-    /// Whether an answer was begun that may not have left yet.
-    answering: Cell<bool>,
-    changed: Cell<Time>,
+    in_flight: Cell<bool>,
+    /// Whether a response was handed to the connection and may not have been written out yet.
+    flushing: Cell<bool>,
+    /// When a request last began or ended.
+    last_change: Cell<Time>,
 }
 
 impl Activity {
     fn new(router: Rc<Router>) -> Self {
         Activity {
-            under_way: Cell::new(false),
-            answering: Cell::new(false),
-            changed: Cell::new(router.now()),
+            in_flight: Cell::new(false),
+            flushing: Cell::new(false),
+            last_change: Cell::new(router.now()),
             router,
         }
     }
 
-    fn set(&self, under_way: bool) {
-        self.under_way.set(under_way);
-        self.set_answering(!under_way);
-        self.changed.set(self.router.now());
+    fn set(&self, in_flight: bool) {
+        self.in_flight.set(in_flight);
+        self.set_flushing(!in_flight);
+        self.last_change.set(self.router.now());
     }
 
-    fn set_answering(&self, answering: bool) {
+    fn set_flushing(&self, flushing: bool) {
         let count = &self.router.answering;
-        match (self.answering.replace(answering), answering) {
+        match (self.flushing.replace(flushing), flushing) {
             (false, true) => count.set(count.get() + 1),
             (true, false) => count.set(count.get() - 1),
             _ => {}
@@ -146,7 +147,7 @@
 
 impl Drop for Activity {
     fn drop(&mut self) {
-        self.set_answering(false);
+        self.set_flushing(false);
     }
 }
 
@@ -156,22 +157,22 @@
     }
 }
 
-/// Serves the requests of one connection until it ends.
+/// Serves the requests of one connection until the connection ends.
 pub async fn serve_connection<S>(router: Rc<Router>, stream: S)
 where
     S: AsyncRead + AsyncWrite + Unpin + 'static,
 {
     let _open = Counted::begin(router.clone(), |router| &router.open_connections);
     let activity = Rc::new(Activity::new(router.clone()));
-    let passed = Rc::new(PassedAnswer::default());
+    let tracker = Rc::new(PassedAnswer::default());
     let service = {
         let router = router.clone();
         let activity = activity.clone();
-        let passed = passed.clone();
+        let tracker = tracker.clone();
         service_fn(move |request| {
             let router = router.clone();
             let activity = activity.clone();
-            let passed = passed.clone();
+            let tracker = tracker.clone();
             activity.set(true);
             async move {
                 let mut response = admission::answer(router.clone(), request).await;
@@ -180,7 +181,7 @@
                     response.headers_mut().insert(CONNECTION, close);
                 }
                 activity.set(false);
-                Ok::<_, Infallible>(passed.follow(response))
+                Ok::<_, Infallible>(tracker.follow(response))
             }
         })
     };
@@ -188,28 +189,29 @@
         .configuration
         .borrow()
         .as_ref()
-        .map(|known| known.limits)
+        .map(|configuration| configuration.limits)
         .unwrap_or_default();
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Counted from the end of the answer before, so that no rest may be cut by it.
+        // This timeout counts from the end of the previous response: if it were shorter than the
+        // idle timeout, it would cut idle connections.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(BUFFER_BYTES.max(limits.header_bytes + 1024))
+        .max_buf_size(DEFAULT_MAX_BUFFER_BYTES.max(limits.header_bytes + 1024))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let mut draining = time_to_close(&router).boxed_local().fuse();
-    let mut overdue = std::pin::pin!(passed.overdue(&router));
+    let mut close_due = wait_until_close_due(&router).boxed_local().fuse();
+    let mut overdue = std::pin::pin!(tracker.overdue(&router));
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
             () = &mut overdue => {
-                log::info!(target: "callers", "unread=true: an answer ended with its time");
+                log::info!(target: "callers", "unread=true: closed a connection whose caller did not read the response in time");
                 return;
             }
-            _ = &mut draining => connection.as_mut().graceful_shutdown(),
+            _ = &mut close_due => connection.as_mut().graceful_shutdown(),
             _ = sleep(limits.idle_timeout) => {
-                let rested = router.now().since(activity.changed.get()) >= limits.idle_timeout;
-                if rested && !activity.under_way.get() {
+                let is_idle = router.now().since(activity.last_change.get()) >= limits.idle_timeout;
+                if is_idle && !activity.in_flight.get() {
                     connection.as_mut().graceful_shutdown();
                 }
             }
@@ -217,60 +219,62 @@
     }
 }
 
-/// Waits until a connection closes for the router's end. One that came up while
-/// the router drains has a moment for a request, which is told when to come back.
-async fn time_to_close(router: &Router) {
+/// Waits until a connection is to be closed because the router drains. A connection that was
+/// accepted while the router drains has some time for one request, whose refusal says when to
+/// retry.
+async fn wait_until_close_due(router: &Router) {
     let mut phase = router.phase.subscribe();
     if *phase.borrow() >= Phase::Draining {
-        sleep(LATE_CALLER).await;
+        sleep(LATE_CONNECTION_TIMEOUT).await;
         return;
     }
-    // An error means that the router is gone.
+    // An error means that the router was dropped.
     let _ = phase.wait_for(|phase| *phase >= Phase::Draining).await;
 }
 
-/// Serves small answers by path and query: readiness, metrics.
-pub async fn serve_by_path<F>(listener: TcpListener, answer: F)
+/// Serves short responses that depend on path and query, such as readiness and metrics.
+pub async fn serve_by_path<F>(listener: TcpListener, respond: F)
 where
     F: Fn(&str) -> (StatusCode, Bytes) + 'static,
 {
     serve_by_address_and_path(listener, move |_, path| {
-        let (status, body) = answer(path);
+        let (status, body) = respond(path);
         (status, body, ())
     })
     .await;
 }
 
-/// Serves answers by the caller's address and by path and query. The last part of an answer is kept
-/// for as long as the connection that it goes over.
-pub async fn serve_by_address_and_path<F, G>(listener: TcpListener, answer: F)
+/// Serves responses that depend on the client's IP address and on path and query. The last element
+/// that `respond` returns is a guard: it is kept until the next request on the same connection or
+/// the end of that connection.
+pub async fn serve_by_address_and_path<F, G>(listener: TcpListener, respond: F)
 where
     F: Fn(IpAddr, &str) -> (StatusCode, Bytes, G) + 'static,
     G: 'static,
 {
-    let answer = Rc::new(answer);
+    let respond = Rc::new(respond);
     loop {
-        let Ok((stream, caller)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+        let Ok((stream, client)) = listener.accept().await else {
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let answer = answer.clone();
+        let respond = respond.clone();
         actix_rt::spawn(async move {
-            let kept = Rc::new(RefCell::new(None));
+            let guard = Rc::new(RefCell::new(None));
             let service = service_fn(|request: hyper::Request<hyper::body::Incoming>| {
                 let path = request
                     .uri()
                     .path_and_query()
                     .map_or("/", |path| path.as_str());
-                let (status, body, keep) = answer(caller.ip(), path);
-                kept.replace(Some(keep));
+                let (status, body, new_guard) = respond(client.ip(), path);
+                guard.replace(Some(new_guard));
                 async move {
                     let mut response = Response::new(Full::new(body));
                     *response.status_mut() = status;
                     Ok::<_, Infallible>(response)
                 }
             });
-            // A failed connection concerns only who asked.
+            // A failed connection affects only its client.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
