--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -96,7 +96,8 @@
 
     /// Makes the outcome of the attempt count for the version of its back end.
     pub(crate) fn watch_version(&mut self, route: &Arc<Route>) {
-        self.version_watch = VersionObserver::begin(&self.router, &self.back_end, route).map(Box::new);
+        self.version_watch =
+            VersionObserver::begin(&self.router, &self.back_end, route).map(Box::new);
     }
 
     /// Puts the attempt on probation: meanwhile its back end gets no other request on probation.
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -36,7 +36,9 @@
     ) -> Candidates {
         let choice = self.version_filter(pool, excluded.is_empty());
         let candidates = self.candidates_for_version(choice, pool, excluded, request, limit);
-        if choice == VersionFilter::Selected(VersionSelection::New) && !candidates.any_has_capacity() {
+        if choice == VersionFilter::Selected(VersionSelection::New)
+            && !candidates.any_has_capacity()
+        {
             let old = VersionFilter::Selected(VersionSelection::Old);
             return self.candidates_for_version(old, pool, excluded, request, limit);
         }
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -122,7 +122,9 @@
             .metrics
             .count_request(self.outcome.as_str(), seconds);
         if self.has_returned {
-            self.router.metrics.count_returning_caller(self.outcome.as_str());
+            self.router
+                .metrics
+                .count_returning_caller(self.outcome.as_str());
         }
         let status = match self.outcome {
             Outcome::Answered(status) => status,
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -187,7 +187,8 @@
         if self.route.kind.is_idempotent() {
             ClientConnection::open(address, CONNECT_TIMEOUT).await
         } else {
-            ClientConnection::open_with_reset_check(address, CONNECT_TIMEOUT, OVERLOAD_RESET_WAIT).await
+            ClientConnection::open_with_reset_check(address, CONNECT_TIMEOUT, OVERLOAD_RESET_WAIT)
+                .await
         }
     }
 
