--- /dev/null
+++ b/crates/stacktack-direct/src/response_body.rs
@@ -0,0 +1,343 @@
+//! Bodies of responses on their way to callers: complete ones, and streams.
+
+use std::future::Future;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::future::LocalBoxFuture;
+use futures_util::FutureExt;
+use http_body::{Body, Frame, SizeHint};
+use hyper::body::Incoming;
+use stacktack_core::direct::request::attempt::AttemptFailure;
+use stacktack_core::direct::request::events::EventSplitter;
+use stacktack_core::direct::traffic::route::RouteKind;
+use thiserror::Error;
+use tokio::time::{sleep_until, Instant, Sleep};
+
+use crate::attempt::Attempt;
+use crate::attempt_timeout::ResponseProgress;
+use crate::exchange::{Exchange, Outcome};
+
+/// Time without bytes after which a resumable stream is resumed at another back end, if allowed.
+const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Why a response broke off midway; the caller's connection is closed.
+#[derive(Debug, Error)]
+pub enum ResponseError {
+    /// The back end's response broke off.
+    #[error("the back end's response broke off")]
+    BrokenOff,
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
+    DeadlineExceeded,
+}
+
+/// Body of a response.
+pub enum ResponseBody {
+    /// All bytes; `None` once they are taken.
+    Full(Option<Bytes>),
+    /// A stream in progress.
+    Stream(Box<ResponseStream>),
+}
+
+impl ResponseBody {
+    /// A complete body.
+    pub fn full(bytes: Bytes) -> Self {
+        ResponseBody::Full(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    }
+
+    /// A body that is streamed.
+    pub fn stream(stream: ResponseStream) -> Self {
+        ResponseBody::Stream(Box::new(stream))
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = ResponseError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
+        match &mut *self {
+            ResponseBody::Full(bytes) => {
+                Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
+            }
+            ResponseBody::Stream(stream) => stream.poll_next(context),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        matches!(self, ResponseBody::Full(None))
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Full(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
+            ResponseBody::Stream(_) => SizeHint::default(),
+        }
+    }
+}
+
+type ResumeResult = (Box<Exchange>, Option<(Incoming, Attempt)>);
+
+enum StreamState {
+    /// A back end is sending.
+    Receiving {
+        exchange: Box<Exchange>,
+        incoming: Incoming,
+        attempt: Attempt,
+    },
+    /// Another back end is asked to resume the stream.
+    Resuming {
+        resumed: LocalBoxFuture<'static, ResumeResult>,
+        /// The attempt that stalled: it is continued if no other back end resumes the stream.
+        stalled: Option<(Incoming, Attempt)>,
+    },
+    /// The stream is over.
+    Ended,
+}
+
+/// A stream on its way to a caller.
+pub struct ResponseStream {
+    state: StreamState,
+    /// Bytes that were buffered before streaming started; empty once they are taken.
+    buffered: Bytes,
+    /// Splits a resumable stream into complete events.
+    splitter: Option<EventSplitter>,
+    status: u16,
+    deadline: LocalBoxFuture<'static, ()>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+}
+
+enum StreamStep {
+    Data(Bytes),
+    End,
+    Broken(AttemptFailure),
+    DeadlineExceeded,
+}
+
+impl ResponseStream {
+    /// A stream whose head has arrived.
+    pub fn new(
+        exchange: Box<Exchange>,
+        buffered: Bytes,
+        incoming: Incoming,
+        attempt: Attempt,
+        status: u16,
+    ) -> Self {
+        let resumable = exchange.route.kind == RouteKind::ResumableStream;
+        let (router, end) = (exchange.router.clone(), exchange.deadline);
+        let deadline = async move { router.until(end).await }.boxed_local();
+        ResponseStream {
+            state: StreamState::Receiving {
+                exchange,
+                incoming,
+                attempt,
+            },
+            buffered,
+            splitter: resumable.then(EventSplitter::default),
+            status,
+            deadline,
+            stall_timer: resumable.then(|| Box::pin(sleep_until(next_stall_deadline()))),
+        }
+    }
+
+    /// Whether another back end may resume the stream.
+    pub fn is_resumable(&self) -> bool {
+        self.splitter.is_some()
+    }
+
+    fn poll_next(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
+        loop {
+            if let StreamState::Resuming { resumed, stalled } = &mut self.state {
+                let (exchange, resumed) = match resumed.poll_unpin(context) {
+                    Poll::Ready(resumed) => resumed,
+                    Poll::Pending => {
+                        ready!(self.deadline.as_mut().poll(context));
+                        self.state = StreamState::Ended;
+                        return Poll::Ready(Some(Err(ResponseError::DeadlineExceeded)));
+                    }
+                };
+                let stalled = stalled.take();
+                if !self.continue_with(exchange, resumed, stalled) {
+                    return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
+                }
+            }
+            match ready!(self.poll_step(context)) {
+                StreamStep::Data(bytes) => {
+                    let bytes = match &mut self.splitter {
+                        Some(splitter) => splitter.push(&bytes),
+                        None => bytes,
+                    };
+                    if !bytes.is_empty() {
+                        return Poll::Ready(Some(Ok(Frame::data(bytes))));
+                    }
+                }
+                StreamStep::End => return Poll::Ready(self.complete()),
+                StreamStep::Broken(failure) => {
+                    if !self.try_resume(failure) {
+                        return Poll::Ready(Some(Err(ResponseError::BrokenOff)));
+                    }
+                }
+                StreamStep::DeadlineExceeded => {
+                    self.finish(Outcome::BrokenOff);
+                    return Poll::Ready(Some(Err(ResponseError::DeadlineExceeded)));
+                }
+            }
+        }
+    }
+
+    /// Continues with the attempt that resumes the stream, else with the one that stalled; false
+    /// if there is neither.
+    fn continue_with(
+        &mut self,
+        mut exchange: Box<Exchange>,
+        resumed: Option<(Incoming, Attempt)>,
+        stalled: Option<(Incoming, Attempt)>,
+    ) -> bool {
+        if let (Some(splitter), Some(_)) = (&mut self.splitter, &resumed) {
+            splitter.discard();
+        }
+        if let (None, Some((_, attempt))) = (&resumed, &stalled) {
+            exchange.log_awaited_again(&attempt.back_end);
+        }
+        let Some((incoming, attempt)) = resumed.or(stalled) else {
+            exchange.outcome = Outcome::BrokenOff;
+            self.state = StreamState::Ended;
+            return false;
+        };
+        self.state = StreamState::Receiving {
+            exchange,
+            incoming,
+            attempt,
+        };
+        self.reset_stall_timer();
+        true
+    }
+
+    fn poll_step(&mut self, context: &mut Context<'_>) -> Poll<StreamStep> {
+        if !self.buffered.is_empty() {
+            return Poll::Ready(StreamStep::Data(std::mem::take(&mut self.buffered)));
+        }
+        let StreamState::Receiving {
+            exchange,
+            incoming,
+            attempt,
+        } = &mut self.state
+        else {
+            return Poll::Ready(StreamStep::End);
+        };
+        match Pin::new(incoming).poll_frame(context) {
+            Poll::Ready(Some(Ok(frame))) => {
+                attempt.on_bytes();
+                self.reset_stall_timer();
+                let bytes = frame.into_data().unwrap_or_default();
+                return Poll::Ready(StreamStep::Data(bytes));
+            }
+            Poll::Ready(Some(Err(_))) => {
+                return Poll::Ready(StreamStep::Broken(AttemptFailure::Broken))
+            }
+            Poll::Ready(None) => {
+                let is_cut_mid_event = self
+                    .splitter
+                    .as_ref()
+                    .is_some_and(EventSplitter::has_partial_event);
+                return Poll::Ready(if is_cut_mid_event {
+                    StreamStep::Broken(AttemptFailure::Broken)
+                } else {
+                    StreamStep::End
+                });
+            }
+            Poll::Pending => {}
+        }
+        if self.deadline.as_mut().poll(context).is_ready() {
+            return Poll::Ready(StreamStep::DeadlineExceeded);
+        }
+        if let Some(stall_timer) = &mut self.stall_timer {
+            while stall_timer.as_mut().poll(context).is_ready() {
+                if exchange.try_abandon_attempt(ResponseProgress::Started) {
+                    return Poll::Ready(StreamStep::Broken(AttemptFailure::TimedOut));
+                }
+                stall_timer.as_mut().reset(next_stall_deadline());
+            }
+        }
+        Poll::Pending
+    }
+
+    fn reset_stall_timer(&mut self) {
+        if let Some(stall_timer) = &mut self.stall_timer {
+            stall_timer.as_mut().reset(next_stall_deadline());
+        }
+    }
+
+    /// Resumes the stream at another back end; false if that is not allowed.
+    fn try_resume(&mut self, failure: AttemptFailure) -> bool {
+        let StreamState::Receiving {
+            mut exchange,
+            incoming,
+            attempt,
+        } = std::mem::replace(&mut self.state, StreamState::Ended)
+        else {
+            return false;
+        };
+        let is_stalled = failure == AttemptFailure::TimedOut;
+        if is_stalled {
+            attempt.on_unreachable();
+        } else {
+            attempt.on_failure();
+        }
+        exchange.crash_probe = exchange.record_interrupted_run(&attempt, failure);
+        let stalled = is_stalled.then_some((incoming, attempt));
+        let Some(splitter) = &self.splitter else {
+            exchange.record_failure(failure, "-");
+            exchange.outcome = Outcome::BrokenOff;
+            return false;
+        };
+        let after = splitter.last_id().map(str::to_owned);
+        let resumed = async move {
+            let resumed = exchange.resume(after.as_deref(), failure).await;
+            (exchange, resumed)
+        };
+        self.state = StreamState::Resuming {
+            resumed: resumed.boxed_local(),
+            stalled,
+        };
+        true
+    }
+
+    fn complete(&mut self) -> Option<Result<Frame<Bytes>, ResponseError>> {
+        let status = self.status;
+        self.finish(Outcome::Answered(status));
+        None
+    }
+
+    fn finish(&mut self, outcome: Outcome) {
+        if let StreamState::Receiving {
+            mut exchange,
+            attempt,
+            ..
+        } = std::mem::replace(&mut self.state, StreamState::Ended)
+        {
+            exchange.outcome = outcome;
+            if matches!(outcome, Outcome::Answered(_)) {
+                exchange.note_good_run();
+                attempt.on_complete();
+                attempt.finish();
+            }
+        }
+    }
+}
+
+/// When a stream that sends nothing from now on has stalled.
+fn next_stall_deadline() -> Instant {
+    Instant::now() + STREAM_STALL_TIMEOUT
+}
--- /dev/null
+++ b/crates/stacktack-direct/src/response_deadline.rs
@@ -0,0 +1,103 @@
+//! Ends streamed responses that their callers do not read at the deadline of the request.
+//!
+//! A streamed response is polled for its next bytes only when its caller has read the previous
+//! ones. While a caller reads nothing, nothing else notices that the deadline has passed, and the
+//! response would hold its connection, its back end and its memory for as long as the caller likes.
+
+use std::cell::Cell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body::{Body, Frame, SizeHint};
+use hyper::Response;
+use stacktack_core::time::Time;
+use tokio::sync::Notify;
+
+use crate::response_body::{ResponseBody, ResponseError};
+use crate::router::Router;
+
+/// Time after the deadline within which a response ends by itself if its caller reads it.
+const DEADLINE_SLACK: Duration = Duration::from_millis(200);
+
+/// When a streamed response has to be over.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ResponseDeadline(pub Time);
+
+/// Deadline of the response that a connection streams, if there is one.
+#[derive(Debug, Default)]
+pub(crate) struct DeadlineTracker {
+    deadline: Cell<Option<Time>>,
+    changed: Notify,
+}
+
+impl DeadlineTracker {
+    /// Tracks a response until its body is dropped: read completely, or broken off.
+    pub fn track(self: &Rc<Self>, response: Response<ResponseBody>) -> Response<TrackedBody> {
+        let deadline = response.extensions().get::<ResponseDeadline>().copied();
+        let guard = deadline.map(|ResponseDeadline(deadline)| {
+            self.set(Some(deadline));
+            TrackingGuard(self.clone())
+        });
+        response.map(|body| TrackedBody {
+            body,
+            _guard: guard,
+        })
+    }
+
+    fn set(&self, deadline: Option<Time>) {
+        self.deadline.set(deadline);
+        self.changed.notify_one();
+    }
+
+    /// Resolves when a response is in progress whose deadline has passed.
+    pub async fn overdue(&self, router: &Router) {
+        loop {
+            let Some(deadline) = self.deadline.get() else {
+                self.changed.notified().await;
+                continue;
+            };
+            tokio::select! {
+                () = router.until(deadline + DEADLINE_SLACK) => return,
+                () = self.changed.notified() => {}
+            }
+        }
+    }
+}
+
+/// Ends the tracking of a response when dropped.
+struct TrackingGuard(Rc<DeadlineTracker>);
+
+impl Drop for TrackingGuard {
+    fn drop(&mut self) {
+        self.0.set(None);
+    }
+}
+
+/// Body of a tracked response.
+pub(crate) struct TrackedBody {
+    body: ResponseBody,
+    _guard: Option<TrackingGuard>,
+}
+
+impl Body for TrackedBody {
+    type Data = Bytes;
+    type Error = ResponseError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
+        Pin::new(&mut self.body).poll_frame(context)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
