--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -31,7 +31,7 @@
     /// Whether the back end is in the router's zone.
     pub same_zone: bool,
     /// Outlier-detection state of the back end.
-    pub standing: Health,
+    pub health: Health,
     /// Whether the back end may get requests. If not, it only counts in the mean.
     pub eligible: bool,
 }
@@ -166,7 +166,7 @@
     let start_index = order.first().map(|(_, candidate)| candidate.index);
     let bound = (bounds.spill_factor * mean).max(MIN_SPILL_FACTOR * eligible_mean);
     let bound = bound + bounds.spill_slack;
-    let best = best_standing(eligible(candidates));
+    let best = best_health(eligible(candidates));
     let ineligible = candidates.len() - order.len();
     let many_ineligible = ineligible as f64 >= MIN_INELIGIBLE_SHARE * candidates.len() as f64;
     let rank = match first_rank_below(&order, best, bound, bounds.max_full_candidates) {
@@ -185,7 +185,7 @@
     })
 }
 
-/// Rank of the first candidate with the best standing that is below the spill bound and not full.
+/// Rank of the first candidate with the best health that is below the spill bound and not full.
 /// After `max_full_candidates` full candidates, the rank of the first of these. `None` if neither
 /// is found.
 fn first_rank_below(
@@ -197,7 +197,7 @@
     let mut full = 0;
     let mut first_full = None;
     for (rank, (_, candidate)) in order.iter().enumerate() {
-        if candidate.standing != best {
+        if candidate.health != best {
             continue;
         }
         if !candidate.has_room() {
@@ -220,7 +220,7 @@
     bounds: &SelectBounds,
 ) -> Option<Selection> {
     let mean = mean_load(candidates.iter())?;
-    let best = best_standing(eligible(candidates));
+    let best = best_health(eligible(candidates));
     let cost = |candidate: &DirectCandidate| {
         let zone_cost = if candidate.same_zone {
             0.0
@@ -229,11 +229,10 @@
         };
         candidate.load + zone_cost
     };
-    let with_room =
-        |candidate: &&DirectCandidate| candidate.standing == best && candidate.has_room();
+    let with_room = |candidate: &&DirectCandidate| candidate.health == best && candidate.has_room();
     let some_has_room = eligible(candidates).any(|candidate| with_room(&candidate));
     let chosen = eligible(candidates)
-        .filter(|candidate| candidate.standing == best)
+        .filter(|candidate| candidate.health == best)
         .filter(|candidate| !some_has_room || with_room(candidate))
         .min_by(|a, b| {
             cost(a)
@@ -291,18 +290,18 @@
     (count > 0).then(|| sum / f64::from(count))
 }
 
-fn best_standing<'a>(candidates: impl Iterator<Item = &'a DirectCandidate>) -> Health {
+fn best_health<'a>(candidates: impl Iterator<Item = &'a DirectCandidate>) -> Health {
     candidates
-        .map(|candidate| candidate.standing)
+        .map(|candidate| candidate.health)
         .min()
         .unwrap_or(Health::Good)
 }
 
-/// Rank of the least loaded candidate that has the best standing and is not full, among the
+/// Rank of the least loaded candidate that has the best health and is not full, among the
 /// [`SPILL_CANDIDATES`] candidates from `rank` on; `rank` if there is none.
 fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Health) -> usize {
     let near = order.iter().enumerate().skip(rank).take(SPILL_CANDIDATES);
-    near.filter(|(_, (_, candidate))| candidate.standing == best && candidate.has_room())
+    near.filter(|(_, (_, candidate))| candidate.health == best && candidate.has_room())
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map_or(rank, |(rank, _)| rank)
 }
@@ -311,7 +310,7 @@
     order
         .iter()
         .enumerate()
-        .filter(|(_, (_, candidate))| candidate.standing == best)
+        .filter(|(_, (_, candidate))| candidate.health == best)
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map(|(rank, _)| rank)
 }
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -28,7 +28,7 @@
     order.sort_unstable_by_key(|candidate| std::cmp::Reverse(score(candidate)));
     let selected = order.into_iter().take(PROBATION_BACK_ENDS);
     let mut available = selected.filter(|candidate| {
-        candidate.eligible && candidate.standing != Health::Ejected && is_free(candidate)
+        candidate.eligible && candidate.health != Health::Ejected && is_free(candidate)
     });
     available.next()
 }
--- a/crates/stacktack-core/tests/admission/world.rs
+++ b/crates/stacktack-core/tests/admission/world.rs
@@ -306,7 +306,7 @@
                 f64::INFINITY
             },
             same_zone: true,
-            standing: Health::Good,
+            health: Health::Good,
             eligible: true,
         };
         let candidates: Vec<DirectCandidate> = reports.iter().enumerate().map(candidate).collect();
--- a/crates/stacktack-core/tests/back_end_beliefs.rs
+++ b/crates/stacktack-core/tests/back_end_state.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_back_end_that_does_not_answer_is_passed_by_and_comes_back() {
+fn an_unreachable_back_end_is_ejected_and_comes_back() {
     let mut all = back_ends(&["a", "b"]);
     let member = all.get_mut("a").expect("known");
     assert!(!member.on_unreachable(at(0)));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn silence_with_requests_in_flight_is_noticed() {
+fn silence_with_requests_in_flight_ejects_a_back_end() {
     let mut all = back_ends(&["a", "b"]);
     all.get_mut("a").expect("known").on_send(at(100));
     assert_eq!(standing(&all, "a", at(500)), Some(Health::Good));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn clearly_slower_than_the_pool_degrades_until_it_was_not_used_for_a_while() {
+fn clearly_slower_than_the_pool_degrades_until_it_was_idle_for_a_while() {
     let mut usual = back_ends(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
         let standings = standings_beside(&mut usual, id, 50);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn leaving_back_ends_get_nothing_but_may_still_hand_over() {
+fn leaving_back_ends_get_no_requests_but_may_still_hold_cached_parts() {
     let mut all = back_ends(&["a", "b"]);
     let mut change = DirectoryChange::default();
     let mut leaving = entry("a");
@@ -160,7 +160,7 @@
                     load: 0.0,
                     limit: f64::INFINITY,
                     same_zone: true,
-                    standing: Health::Good,
+                    health: Health::Good,
                     eligible: true,
                 })
                 .collect();
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn pools_are_bounded_by_labels() {
+fn pools_are_selected_by_labels() {
     let mut all = back_ends(&["a"]);
     let wanted = Requirement {
         key: "service".to_owned(),
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn in_a_small_fleet_the_load_is_the_more_of_what_peers_and_the_back_end_told() {
+fn in_a_small_fleet_the_load_is_the_higher_of_peer_counts_and_the_back_end_report() {
     let mut all = back_ends(&["a"]);
     let member = all.get_mut("a").expect("known");
     member.on_send(at(0));
@@ -214,7 +214,7 @@
 /// In a large fleet the peers' own counts are seconds old, so that they count only
 /// while the back end tells nothing.
 #[test]
-fn in_a_large_fleet_the_load_is_what_the_back_end_told_of_late() {
+fn in_a_large_fleet_the_load_is_the_recent_report_of_the_back_end() {
     let mut all = back_ends(&["a"]);
     let member = all.get_mut("a").expect("known");
     member.on_send(at(0));
@@ -239,7 +239,7 @@
 /// Found on days of overload: requests that this router sent after a load was told
 /// were taken for some of those that the load counted.
 #[test]
-fn what_was_sent_since_a_load_was_told_is_added_to_it() {
+fn requests_sent_since_a_load_report_are_added_to_it() {
     let mut all = back_ends(&["a"]);
     let member = all.get_mut("a").expect("known");
     member.on_send(at(0));
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -210,7 +210,7 @@
         load,
         limit: f64::INFINITY,
         same_zone: true,
-        standing: Health::Good,
+        health: Health::Good,
         eligible: true,
     }
 }
@@ -256,11 +256,11 @@
     assert_ne!(spilled.index, home);
     assert_eq!(spilled.start_index, Some(home));
     candidates[home].load = 1.0;
-    candidates[home].standing = Health::Ejected;
+    candidates[home].health = Health::Ejected;
     let avoided = select_by_affinity(&candidates, 5, &bounds).expect("chosen");
     assert_eq!(avoided.index, spilled.index);
     for candidate in &mut candidates {
-        candidate.standing = Health::Ejected;
+        candidate.health = Health::Ejected;
     }
     assert!(select_by_affinity(&candidates, 5, &bounds).is_some());
     assert!(select_by_affinity(&[], 5, &bounds).is_none());
--- a/crates/stacktack-core/tests/closed_members.rs
+++ b/crates/stacktack-core/tests/ineligible_members.rs
@@ -25,14 +25,14 @@
             load: load(index),
             limit: 80.0,
             same_zone: true,
-            standing: Health::Good,
+            health: Health::Good,
             eligible: index % nth != 0,
         })
         .collect()
 }
 
 #[test]
-fn nothing_goes_to_a_closed_member() {
+fn an_ineligible_member_gets_no_requests() {
     let pool = pool(12, |index| if index % 4 == 0 { 0.0 } else { 9.0 }, 4);
     let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..400 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn where_all_are_closed_nothing_is_chosen() {
+fn nothing_is_chosen_if_all_members_are_ineligible() {
     let pool = pool(6, |_| 1.0, 1);
     let bounds = SelectBounds::for_load_cap(2.0);
     assert_eq!(select_by_affinity(&pool, 7, &bounds), None);
@@ -56,7 +56,7 @@
 /// With two of four members closed the others carry twice the mean: affinity goes on to
 /// hold, within a tenth of what they carry.
 #[test]
-fn affinity_holds_while_half_of_the_pool_is_closed() {
+fn affinity_holds_while_half_of_the_pool_is_ineligible() {
     let pool = pool(8, |index| if index % 2 == 0 { 0.0 } else { 40.0 }, 2);
     let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..200 {
@@ -68,7 +68,7 @@
 /// Homes over the bound are passed by for the least loaded of the next ones, so that not
 /// all routers pass on to the same one.
 #[test]
-fn beside_closed_members_a_full_home_gives_way_to_the_least_loaded_near_it() {
+fn with_many_ineligible_members_requests_spill_to_the_least_loaded_near_the_home() {
     let loads = |index: usize| match index % 4 {
         0 => 0.0,
         1 => 40.0,
@@ -104,7 +104,7 @@
 
 /// What a drained back end told last does not count as its load for seconds.
 #[test]
-fn the_load_of_a_closed_member_ends() {
+fn the_reported_load_of_an_ineligible_member_decays() {
     let report = |age: Option<u64>| LoadReport {
         load: 12.0,
         slots: 64,
@@ -137,7 +137,7 @@
 /// beyond the first of their requests in 10 s, 2,551 allowed. One answer says for good
 /// that an instance is gone; and what arrived somewhere is a repeat when it is sent again.
 #[test]
-fn an_address_that_another_instance_holds_gets_nothing_more() {
+fn an_instance_replaced_at_its_address_gets_no_more_requests() {
     let mut known = back_end();
     assert!(known.may_get_requests(Time(5)));
     known.on_replaced();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_misdirected_try_is_repeated_out_of_the_budget() {
+fn a_misdirected_try_is_retried_out_of_the_retry_budget() {
     let mut ledger = AttemptHistory::default();
     ledger.record(AttemptFailure::Unreached);
     assert!(!ledger.has_arrived());
@@ -158,7 +158,7 @@
 /// A release holds back a few members at a time: the next home within the bound takes what
 /// goes by a full one then, as while all are open.
 #[test]
-fn beside_few_closed_members_the_order_of_homes_holds() {
+fn with_few_ineligible_members_requests_spill_in_rendezvous_order() {
     let loads = |index: usize| if index.is_multiple_of(2) { 40.0 } else { 9.0 };
     let few_closed = pool(40, loads, 10);
     let all_open: Vec<DirectCandidate> = few_closed
--- a/crates/stacktack-core/tests/suspicion.rs
+++ b/crates/stacktack-core/tests/outlier_detection.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn it_takes_several_where_failures_are_common() {
+fn several_failures_are_needed_where_failures_are_common() {
     assert!(!after(&[true, true], COMMON).is_suspect());
     assert!(after(&[true, true, true], COMMON).is_suspect());
     let mixed = [true, false, false, true, false, false, true, false, false];
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_suspect_is_passed_by_for_longer_each_time_until_it_is_cleared() {
+fn a_suspect_is_avoided_for_longer_each_time_until_it_is_cleared() {
     let mut suspicion = after(&[true], RARE);
     assert!(!suspicion.allows_trial(at(900), Retryability::Retryable));
     assert!(suspicion.allows_trial(at(1000), Retryability::Retryable));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_suspect_is_tried_with_one_request_that_may_be_repeated() {
+fn a_suspect_gets_one_retryable_request_as_a_trial() {
     let mut all = pool(6);
     all.get_mut("b0").expect("known").on_outcome(true, at(0));
     for risk in [Retryability::NotRetryable, Retryability::Retryable] {
@@ -116,7 +116,7 @@
 /// Found by reading: where no request may be repeated, one failure took a back end
 /// out for good.
 #[test]
-fn a_suspect_is_tried_with_any_request_after_a_longer_time() {
+fn a_suspect_gets_any_request_as_a_trial_after_a_longer_pause() {
     let mut all = pool(6);
     all.get_mut("b0").expect("known").on_outcome(true, at(0));
     let risk = Retryability::NotRetryable;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn what_peers_saw_counts_for_a_while_and_less_than_an_own_good_answer() {
+fn suspect_reports_expire_and_count_less_than_a_recent_own_success() {
     let mut all = pool(6);
     let risk = Retryability::Retryable;
     accuse(&mut all, "b0", &[1, 1], at(0));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn accusations_of_many_are_not_believed() {
+fn suspect_reports_about_many_back_ends_are_ignored() {
     let mut all = pool(6);
     for id in ["b0", "b1", "b2"] {
         accuse(&mut all, id, &[1, 2], at(0));
@@ -167,7 +167,7 @@
 /// Found by a hunted day: the whole fleet passed by busy back ends at once, and
 /// the next ones were loaded above the bound.
 #[test]
-fn silence_is_not_told() {
+fn silence_is_not_reported_to_peers() {
     let mut all = pool(3);
     all.get_mut("b0").expect("known").on_send(at(0));
     assert!(all.get("b0").expect("known").is_silent(at(500)));
--- a/crates/stacktack-core/tests/part_shares.rs
+++ b/crates/stacktack-core/tests/part_shares.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_part_that_cooled_down_is_back_at_its_home() {
+fn a_part_that_is_no_longer_hot_is_back_at_its_home() {
     let mut shares = shares(4, 100);
     shares.record(2, at(10_000));
     assert_eq!(shares.replicas(HOT, &large()), 1);
@@ -92,7 +92,7 @@
         load: *load,
         limit: f64::INFINITY,
         same_zone: true,
-        standing: Health::Good,
+        health: Health::Good,
         eligible: true,
     };
     loads.iter().enumerate().map(candidate).collect()
@@ -100,7 +100,7 @@
 
 /// All routers find the same places, and those of a part that is spread further hold the earlier ones.
 #[test]
-fn places_of_a_part_are_the_first_in_its_order() {
+fn replicas_of_a_part_are_the_first_in_its_rendezvous_order() {
     let pool = pool(&[3.0; 12]);
     let bounds = SelectBounds::for_load_cap(2.0);
     let begun_at = |places: usize| -> BTreeSet<usize> {
@@ -120,7 +120,7 @@
 
 /// More places than members that may get the request: none is asked for beyond them.
 #[test]
-fn a_part_is_spread_over_the_members_that_are_open() {
+fn a_part_is_spread_over_eligible_members_only() {
     let mut pool = pool(&[3.0; 4]);
     pool[0].eligible = false;
     for first in 0..4 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_full_place_gives_way_to_the_next_one() {
+fn requests_spill_from_a_full_replica_to_the_next_one() {
     let all = pool(&[3.0; 6]);
     let bounds = SelectBounds::for_load_cap(2.0).spread_over(3, 1);
     let second = select_by_affinity(&all, HOT, &bounds).expect("chosen");
--- a/crates/stacktack-core/tests/passed_by_members/world.rs
+++ b/crates/stacktack-core/tests/passed_by_members/world.rs
@@ -236,7 +236,7 @@
                 load: pool.map_or(report.load, |pool| pool.expected_load(report, hold)),
                 limit: f64::INFINITY,
                 same_zone: true,
-                standing: Health::Good,
+                health: Health::Good,
                 eligible: true,
             })
             .collect();
--- a/crates/stacktack-core/tests/quarantine/main.rs
+++ b/crates/stacktack-core/tests/quarantine/main.rs
@@ -4,18 +4,18 @@
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use simulation::{digest, life_of, Outcome, Plan, Simulation};
 use stacktack_core::direct::back_ends::directory::InstanceId;
 use stacktack_core::direct::quarantine::interrupted_runs::{InterruptedRun, InterruptedRuns};
 use stacktack_core::direct::quarantine::record::{RecordGossip, Treatment};
 use stacktack_core::direct::quarantine::{Quarantine, StoredVerdict};
 use stacktack_core::time::Time;
-use world::{digest, life_of, Outcome, Plan, World};
 
 const SECOND: Duration = Duration::from_secs(1);
 const NOW: Time = Time(100_000_000);
@@ -58,7 +58,7 @@
 fn a_fatal_request_is_set_aside_in_fleets_of_any_size() {
     for (routers, back_ends) in FLEETS {
         let plan = plan(routers, back_ends);
-        let outcome = World::play(plan);
+        let outcome = Simulation::play(plan);
         show("one fatal", &plan, &outcome);
         assert!(outcome.late.iter().all(|late| *late <= 3), "{outcome:?}");
         assert!(outcome.bytes_per_second <= 2048.0, "{outcome:?}");
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn without_a_quarantine_it_goes_on() {
+fn without_a_quarantine_a_fatal_request_keeps_crashing_back_ends() {
     let plan = Plan {
         protected: false,
         ..plan(4, 18)
     };
-    let outcome = World::play(plan);
+    let outcome = Simulation::play(plan);
     show("unprotected", &plan, &outcome);
     assert!(outcome.late[0] > 50, "{outcome:?}");
 }
@@ -84,21 +84,21 @@
         fatal_every: Duration::from_millis(500),
         ..plan(23, 40)
     };
-    let outcome = World::play(plan);
+    let outcome = Simulation::play(plan);
     show("four fatal", &plan, &outcome);
     assert!(outcome.late.iter().all(|late| *late <= 3), "{outcome:?}");
     assert!(outcome.shut_out * 500 < outcome.innocent, "{outcome:?}");
 }
 
 #[test]
-fn one_that_comes_seldom_is_set_aside() {
+fn a_rare_fatal_request_is_set_aside() {
     let every = Duration::from_secs(4);
     let plan = Plan {
         fatal_every: every,
         length: Duration::from_secs(60),
         ..plan(23, 40)
     };
-    let outcome = World::play(plan);
+    let outcome = Simulation::play(plan);
     show("seldom", &plan, &outcome);
     assert!(outcome.late[0] <= 3, "{outcome:?}");
 }
@@ -106,7 +106,7 @@
 /// Back ends that end by themselves, each after six seconds in the mean, and a request
 /// that a fifth of all callers send: nobody is shut out for what others did.
 #[test]
-fn where_back_ends_end_by_themselves_nobody_is_shut_out() {
+fn crashes_unrelated_to_requests_set_hardly_any_request_aside() {
     for seed in 1..=4 {
         let plan = Plan {
             seed,
@@ -115,7 +115,7 @@
             lives_for: Some(Duration::from_secs(6)),
             ..plan(23, 40)
         };
-        let outcome = World::play(plan);
+        let outcome = Simulation::play(plan);
         show("own ends", &plan, &outcome);
         assert!(outcome.shut_out * 1000 < outcome.innocent, "{outcome:?}");
     }
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn treatment_follows_deaths_and_probations() {
+fn treatment_follows_crashes_and_probations() {
     let mut quarantine = Quarantine::default();
     let request = digest(1);
     let mut seen = vec![quarantine.treatment(request, NOW)];
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_good_run_clears_and_the_next_deaths_count_from_none() {
+fn a_successful_run_clears_a_request_and_resets_its_crash_count() {
     let mut quarantine = convicted();
     let change = quarantine
         .on_successful_run(digest(1), NOW)
@@ -183,7 +183,7 @@
 
 /// Whatever is told how often and in whichever order, all routers believe the same in the end.
 #[test]
-fn news_merges_in_any_order() {
+fn gossip_merges_in_any_order() {
     let mut random = ChaCha8Rng::seed_from_u64(9);
     for _ in 0..200 {
         let mut routers = vec![Quarantine::default(); 4];
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_verdict_is_stored_by_who_made_it_and_later_by_who_heard() {
+fn a_verdict_is_written_by_the_router_that_reached_it_and_later_by_its_peers() {
     let mut own = convicted();
     let verdict = StoredVerdict {
         digest: digest(1),
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_router_that_starts_takes_verdicts_from_the_store() {
+fn a_router_that_starts_applies_verdicts_from_the_store() {
     let verdict = StoredVerdict {
         digest: digest(1),
         epoch: 3,
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn an_operator_lifts_a_verdict_by_dropping_it_from_the_store() {
+fn an_operator_lifts_a_verdict_by_deleting_it_from_the_store() {
     let mut quarantine = convicted();
     let verdict = StoredVerdict {
         digest: digest(1),
@@ -300,7 +300,7 @@
 
 /// Whoever ends back ends with ever new requests fills the table, and pushes no verdict out.
 #[test]
-fn a_flood_of_requests_pushes_no_verdict_out() {
+fn a_flood_of_fatal_requests_evicts_no_verdict() {
     let mut quarantine = convicted();
     for number in 10..10_000 {
         quarantine.on_crash(digest(number), life(number), true, NOW + SECOND);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn records_without_a_verdict_are_forgotten_in_the_end() {
+fn records_without_a_verdict_expire() {
     let mut quarantine = convicted();
     quarantine.on_crash(digest(2), life(1), false, NOW);
     quarantine.on_crash(digest(3), life(1), false, NOW);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_broken_run_counts_only_once_its_back_end_is_known_to_have_ended() {
+fn an_interrupted_run_counts_only_once_its_back_end_is_known_to_have_crashed() {
     let mut runs = InterruptedRuns::default();
     let run = |number, at| InterruptedRun {
         digest: digest(number),
--- a/crates/stacktack-core/tests/quarantine/world.rs
+++ b/crates/stacktack-core/tests/quarantine/simulation.rs
@@ -110,7 +110,7 @@
     on_probation: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     plan: Plan,
     queue: EventQueue<Event>,
     random: ChaCha8Rng,
@@ -164,7 +164,7 @@
     })
 }
 
-impl World {
+impl Simulation {
     pub fn play(plan: Plan) -> Outcome {
         let start = Time(1_000_000);
         let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
@@ -194,7 +194,7 @@
             queue.schedule(after, Event::Fatal(fatal));
         }
         queue.schedule(WARM_UP - Duration::from_secs(2), Event::Innocent);
-        let mut world = World {
+        let mut simulation = Simulation {
             plan,
             queue,
             random,
@@ -219,16 +219,16 @@
             outcome: Outcome::default(),
         };
         for back_end in 0..plan.back_ends {
-            world.schedule_own_end(back_end);
+            simulation.schedule_own_end(back_end);
         }
         let end = start + WARM_UP + plan.length;
-        while let Some(event) = world.queue.next() {
-            if world.queue.now > end {
+        while let Some(event) = simulation.queue.next() {
+            if simulation.queue.now > end {
                 break;
             }
-            world.take(event);
+            simulation.take(event);
         }
-        world.finish()
+        simulation.finish()
     }
 
     fn finish(mut self) -> Outcome {
@@ -408,7 +408,7 @@
                 load: 0.0,
                 limit: f64::INFINITY,
                 same_zone: true,
-                standing: if back_end.up {
+                health: if back_end.up {
                     Health::Good
                 } else {
                     Health::Ejected
--- a/crates/stacktack-core/tests/rollout/main.rs
+++ b/crates/stacktack-core/tests/rollout/main.rs
@@ -7,14 +7,14 @@
 mod gossip;
 mod orders;
 mod scenario;
+mod simulation;
 mod store;
-mod world;
 
 use std::time::Duration;
 
 use scenario::{Fault, Outcome, Plan, Trouble};
+use simulation::{Simulation, BOUND};
 use stacktack_core::direct::rollout::status::StoredState;
-use world::{World, BOUND};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -50,7 +50,7 @@
         for seed in SEEDS {
             let mut plan = plan(routers, seed);
             change(&mut plan);
-            let outcome = World::new(plan).play();
+            let outcome = Simulation::new(plan).play();
             println!("{name}: {routers} routers, seed {seed}: {outcome:?}");
             assert!(outcome.stored.len() <= 1, "{name}: more than one outcome");
             assert!(
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_version_that_turns_bad_under_the_whole_traffic_is_rolled_back() {
+fn a_version_that_turns_bad_under_the_full_traffic_is_rolled_back() {
     let outcomes = play("bad when whole", |plan| {
         plan.fault = bad(0.4, 0.0, 8 * SECOND, None)
     });
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_strikes_both_versions_rolls_none_back() {
+fn a_fault_of_both_versions_causes_no_rollback() {
     let outcomes = play("both fail", |plan| plan.trouble.failing_all = 0.15);
     for outcome in outcomes {
         assert_eq!(outcome.stored, [StoredState::Completed], "{outcome:?}");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn lost_answers_of_the_store_make_no_second_outcome() {
+fn lost_responses_of_the_store_cause_no_second_outcome() {
     for fault in [None, bad(0.4, 0.0, 4 * SECOND, None)] {
         let outcomes = play("lost answers", |plan| {
             plan.trouble.lost_answers = 0.6;
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_write_lasts_though_each_writer_is_killed() {
+fn the_outcome_is_stored_although_writers_are_killed() {
     for fault in [None, bad(0.4, 0.0, 4 * SECOND, None)] {
         let outcomes = play("killed writers", |plan| {
             plan.trouble.killed_writers = 0.5;
@@ -169,14 +169,14 @@
 }
 
 #[test]
-fn routers_that_are_cut_off_keep_to_their_share_and_do_not_decide() {
+fn partitioned_routers_keep_to_their_share_and_do_not_decide() {
     for fault in [None, bad(0.4, 0.0, Duration::ZERO, None)] {
         for routers in [4, 30] {
             let mut plan = plan(routers, 7);
             plan.fault = fault;
             plan.trouble.cut_off = routers / 4;
             plan.trouble.cut_for = 9 * SECOND;
-            let outcome = World::new(plan).play();
+            let outcome = Simulation::new(plan).play();
             println!("cut off: {routers} routers: {outcome:?}");
             let expected = match fault {
                 None => StoredState::Completed,
--- a/crates/stacktack-core/tests/rollout/orders.rs
+++ b/crates/stacktack-core/tests/rollout/orders.rs
@@ -13,7 +13,7 @@
 use stacktack_core::direct::rollout::{OrderOutcome, Rollouts, VersionSelection};
 use stacktack_core::time::Time;
 
-use crate::world::BOUND;
+use crate::simulation::BOUND;
 
 const START: Time = Time(1_000_000);
 const SECOND: Duration = Duration::from_secs(1);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_order_that_names_too_little_is_refused() {
+fn an_invalid_order_is_refused() {
     let refused = |service: &str, version: &str, seconds: f64| {
         RolloutOrder::new(service.into(), version.into(), seconds, 1).expect_err("refused")
     };
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_peer_cannot_hand_on_an_order_without_time() {
+fn an_order_without_duration_from_a_peer_is_refused() {
     let mut rollouts = rollouts(Some(BOUND));
     let mut order = order("s", "v2", 5);
     order.duration = Duration::ZERO;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn without_a_bound_an_order_changes_nothing() {
+fn without_an_exposure_bound_an_order_changes_nothing() {
     let mut rollouts = rollouts(None);
     assert_eq!(
         rollouts.apply_order(&order("s", "v2", 5), START),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_version_before_the_store_holds_that_it_runs() {
+fn a_new_version_gets_no_requests_before_its_running_status_is_stored() {
     let mut rollouts = rollouts(Some(BOUND));
     assert_eq!(
         rollouts.apply_order(&order("s", "v2", 5), START),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn of_two_orders_for_a_service_the_newer_counts_and_the_other_version_gets_nothing() {
+fn a_newer_order_replaces_the_older_one_whose_version_gets_no_requests() {
     let mut rollouts = rollouts(Some(BOUND));
     rollouts.apply_order(&order("s", "v2", 5), START);
     store(&mut rollouts, 6, START);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn orders_for_two_services_do_not_touch_each_other() {
+fn orders_for_two_services_do_not_affect_each_other() {
     let mut rollouts = rollouts(Some(BOUND));
     rollouts.apply_order(&order("s", "v2", 5), START);
     rollouts.apply_order(&order("t", "v7", 6), START);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_version_that_nobody_runs_is_given_up_at_its_deadline() {
+fn a_version_that_no_back_end_runs_is_rolled_back_at_its_deadline() {
     let mut rollouts = rollouts(Some(BOUND));
     rollouts.apply_order(&order("s", "v9", 5), START);
     store(&mut rollouts, 6, START);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn counts_are_the_same_whether_they_come_late_twice_or_out_of_order() {
+fn counts_are_the_same_whether_gossip_arrives_late_twice_or_out_of_order() {
     let route = RouteHash::of("route");
     let good = ResponseOutcome::Succeeded {
         latency: SECOND / 100,
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn counts_of_a_router_that_starts_anew_add_to_those_before() {
+fn counts_of_a_restarted_router_add_to_those_before() {
     let route = RouteHash::of("route");
     let mut known = FleetCounts::new(9);
     for incarnation in [1, 2] {
--- a/crates/stacktack-core/tests/rollout/world.rs
+++ b/crates/stacktack-core/tests/rollout/simulation.rs
@@ -90,7 +90,7 @@
     end: Option<StatusWriteResult>,
 }
 
-pub struct World {
+pub struct Simulation {
     plan: Plan,
     draw: ChaCha8Rng,
     queue: EventQueue<Event>,
@@ -106,7 +106,7 @@
     Rollouts::new(draw.random(), Some(BOUND)).expect("the chart is complete")
 }
 
-impl World {
+impl Simulation {
     pub fn new(plan: Plan) -> Self {
         let mut draw = ChaCha8Rng::seed_from_u64(plan.seed);
         let mut queue = EventQueue::new(Time(10_000_000));
@@ -129,7 +129,7 @@
             })
             .collect();
         queue.schedule(WARM_UP, Event::Begin);
-        World {
+        Simulation {
             plan,
             draw,
             queue,
--- a/crates/stacktack-core/tests/slow_start.rs
+++ b/crates/stacktack-core/tests/slow_start.rs
@@ -100,7 +100,7 @@
 
 /// Six times the load: 80 requests a second for one back end.
 #[test]
-fn a_cold_back_end_gets_no_more_than_it_bears_at_any_size() {
+fn a_cold_back_end_is_not_overloaded_by_a_fleet_of_any_size() {
     for routers in FLEETS {
         let (most, all) = play(routers, 80.0 / routers as f64, everybody(routers));
         println!("routers={routers} most={most} all={all}");
@@ -113,7 +113,7 @@
 
 /// A quarter of the routers have just started, and know the three seeds only.
 #[test]
-fn routers_that_know_few_others_do_not_exceed_it() {
+fn routers_that_know_few_peers_do_not_overload_a_cold_back_end() {
     for routers in [23, 103] {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let knows = |own: usize| {
@@ -138,7 +138,7 @@
 /// may: 23 routers 56 requests in a second, where 39 make it fail. The same cause as that of a
 /// retry budget that is divided by the routers heard of.
 #[test]
-fn routers_that_all_start_together_do_not_exceed_it() {
+fn routers_that_all_start_together_do_not_overload_a_cold_back_end() {
     let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
     for routers in FLEETS {
         let knows = |own: usize| {
@@ -153,7 +153,7 @@
 
 /// At its usual load a cold back end takes a part of its work over before it is warm.
 #[test]
-fn a_cold_back_end_takes_a_part_of_its_work_over() {
+fn a_cold_back_end_gets_a_part_of_its_usual_load() {
     for routers in [1, 4, 23] {
         let (_, all) = play(routers, 13.0 / routers as f64, everybody(routers));
         println!("routers={routers} all={all} of 39");
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn an_entry_ages_by_the_routers_own_clock() {
+fn the_cold_time_of_an_entry_passes_by_the_routers_own_clock() {
     let mut back_ends = BackEnds::default();
     let mut change = DirectoryChange::default();
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(0), &mut change);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn what_is_handed_on_says_how_long_it_is_cold_from_now() {
+fn entries_sent_to_peers_carry_the_remaining_cold_time() {
     let mut back_ends = BackEnds::default();
     let mut change = DirectoryChange::default();
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(0), &mut change);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn after_a_drain_all_of_the_zone_start_slowly() {
+fn after_a_zone_drain_all_back_ends_of_the_zone_start_slowly() {
     let mut back_ends = BackEnds::default();
     let mut change = DirectoryChange::default();
     back_ends.upsert(entry(Duration::ZERO, 5), at(0), &mut change);
--- a/crates/stacktack-core/tests/zone_drains.rs
+++ b/crates/stacktack-core/tests/zone_drains.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_newest_revision_decides_in_whatever_order_news_comes() {
+fn the_newest_revision_decides_in_whatever_order_updates_arrive() {
     let news = [
         drain("a", true, 10),
         drain("a", false, 12),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn only_a_change_is_told_as_one() {
+fn merging_returns_true_only_for_a_change() {
     let mut drains = ZoneDrains::default();
     assert!(!drains.merge(&drain("a", false, 4)), "was not drained");
     assert!(drains.merge(&drain("a", true, 5)));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_a_whole_list_leaves_out_has_ended_unless_it_is_newer() {
+fn a_drain_missing_from_a_snapshot_has_ended_unless_it_is_newer() {
     let mut drains = ZoneDrains::default();
     drains.merge(&drain("a", true, 5));
     drains.merge(&drain("b", true, 30));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn more_zones_than_are_remembered_push_out_those_that_are_not_drained() {
+fn zones_that_are_not_drained_are_evicted_before_drained_ones() {
     let mut drains = ZoneDrains::default();
     drains.merge(&drain("kept", true, 1));
     for number in 0..40 {
@@ -217,7 +217,7 @@
 
 /// From one router that the store still answers to the whole fleet, and as quickly back.
 #[test]
-fn a_fleet_that_the_store_turns_away_learns_from_one_router() {
+fn a_fleet_without_the_store_learns_of_a_drain_from_one_router() {
     for count in [1, 4, 23, 103, 330] {
         let mut fleet = Fleet::new(count);
         fleet.run_for(settled_after(count));
@@ -234,7 +234,7 @@
 /// A router that starts anew while a zone is drained, and one that was paused while that
 /// was asked for, know it within 2 s of their return.
 #[test]
-fn a_started_and_a_paused_router_know_a_drain_soon() {
+fn a_restarted_and_a_paused_router_learn_of_a_drain_soon() {
     for count in [4, 23, 103, 330] {
         let mut fleet = Fleet::new(count);
         fleet.run_for(settled_after(count));
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -80,7 +80,7 @@
                     limit.requests(slots) + load_beyond_own
                 }),
                 same_zone: zone == Some(&self.settings.zone),
-                standing: health,
+                health,
                 eligible: !is_drained && member.may_get_requests(now),
             });
             candidates.reports.push(LoadReport { load, slots, age });
@@ -111,9 +111,9 @@
     /// Load of the pool over its eligible members of the best health; `None` if not known.
     pub fn pool_load(&self) -> Option<PoolLoad> {
         let eligible = self.list.iter().filter(|candidate| candidate.eligible);
-        let best_health = eligible.map(|candidate| candidate.standing).min()?;
+        let best_health = eligible.map(|candidate| candidate.health).min()?;
         let is_best = |(candidate, _): &(&DirectCandidate, _)| {
-            candidate.eligible && candidate.standing == best_health
+            candidate.eligible && candidate.health == best_health
         };
         let pairs = self.list.iter().zip(&self.reports).filter(is_best);
         let reports: Vec<LoadReport> = pairs.map(|(_, report)| *report).collect();
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -60,7 +60,7 @@
                 rank: 0,
                 start_index: None,
             },
-            health: candidate.standing,
+            health: candidate.health,
             load_age,
             pool_load: None,
         }
@@ -108,7 +108,7 @@
             }
             None => select_by_load(&candidates.list, rand::rng().next_u64(), &bounds),
         }?;
-        let health = candidates.list[selection.index].standing;
+        let health = candidates.list[selection.index].health;
         let back_end = candidates.ids[selection.index].clone();
         let load_age = self.router.load_age(&back_end);
         Some(Choice {
