--- a/crates/stacktack-core/tests/patience.rs
+++ b/crates/stacktack-core/tests/adaptive_timeout.rs
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_source_of_which_nothing_is_known_has_the_least_patience() {
+fn an_unknown_source_gets_the_minimum_timeout() {
     let patience = AdaptiveTimeout::default();
     assert_eq!(patience.timeout(false), ms(1200));
     assert_eq!(patience.timeout(true), ms(500));
 }
 
 #[test]
-fn a_slow_source_is_given_twice_what_it_took() {
+fn a_slow_source_gets_twice_its_lateness() {
     let mut patience = AdaptiveTimeout::default();
     patience.on_answer(ms(1360));
     assert_eq!(patience.timeout(false), ms(2720));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn patience_has_an_end_and_comes_back_down_with_quick_answers() {
+fn the_timeout_has_a_maximum_and_falls_again_with_quick_answers() {
     let mut patience = AdaptiveTimeout::default();
     patience.on_answer(ms(9000));
     assert_eq!(patience.timeout(false), ms(6000));
--- a/crates/stacktack-core/tests/admission/main.rs
+++ b/crates/stacktack-core/tests/admission/main.rs
@@ -4,7 +4,7 @@
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission};
 use stacktack_core::time::Time;
 
-use world::{
+use simulation::{
     Kind, Plan, Tally, World, HOLD_SECONDS, OBJECTIVE, OVERLOAD_FROM, OVERLOAD_UNTIL, PATIENCE,
 };
 
@@ -60,7 +60,7 @@
 /// late answers to first tries keep the pool below it: first tries in time in the last 3 s
 /// of the overload 144 -> 790 and 172 -> 375 (665 -> 1,865 with 103 routers, 180 engines).
 #[test]
-fn more_callers_are_in_time_where_the_fill_follows_late_answers() {
+fn more_first_tries_are_in_time_when_the_target_fill_follows_late_responses() {
     for (routers, back_ends, knee) in [(4, 30, 0.75), (23, 42, 0.6)] {
         let in_time = |hears_late| {
             let world = play(Plan {
@@ -100,7 +100,7 @@
 const LONG: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_pool_with_room_refuses_nobody() {
+fn a_pool_with_free_capacity_refuses_nobody() {
     for (routers, back_ends) in FLEETS {
         let world = play(plan(routers, back_ends, 0.6));
         let refused = world.sum(|tally| tally.refused_first);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn those_who_are_taken_are_in_time_under_overload() {
+fn admitted_requests_are_in_time_under_overload() {
     for overload in [1.5, 3.0] {
         let with = play(plan(4, 6, overload));
         let late = with.sum(|tally| tally.late) as f64;
@@ -163,7 +163,7 @@
 }
 /// The limit follows the time that a request holds a slot.
 #[test]
-fn a_limit_is_found_from_what_requests_take() {
+fn the_slot_limit_follows_the_hold_time() {
     let request = AdmissionRequest {
         route: "a",
         tenant: None,
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn repeated_sends_find_less_room_and_returned_callers_as_much() {
+fn retries_get_a_lower_slot_limit_and_returning_callers_the_usual_one() {
     let mut admission = PoolAdmission::default();
     let now = Time(1_000_000);
     let fresh = AdmissionRequest {
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn newer_loads_weigh_more_and_a_pool_that_tells_nothing_is_unknown() {
+fn newer_load_reports_weigh_more_and_a_pool_with_too_few_is_unknown() {
     let report = |load: f64, age: Option<u64>| LoadReport {
         load,
         slots: SLOTS,
@@ -251,7 +251,7 @@
 /// With loads known as they are now, requests waited at full homes up to a quarter above
 /// the mean while other back ends had room: four routers, days of overload.
 #[test]
-fn where_loads_are_known_now_each_back_ends_own_limit_holds() {
+fn each_back_ends_own_limit_holds_where_load_reports_are_current() {
     let now = pool(12.0, Duration::ZERO).expect("known");
     assert!(now.is_full());
     assert_eq!(now.back_end_limit(9.0), 9.0);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_full_pool_takes_a_rate_and_a_pool_with_room_takes_all() {
+fn a_full_pool_limits_the_rate_and_a_pool_with_free_capacity_admits_all() {
     let inputs = |mean| ShareInputs {
         pool: pool(mean, Duration::ZERO).expect("known"),
         target_fill: 1.2,
@@ -292,7 +292,7 @@
 /// routers, two bursts); 2,078 callers got an unknown outcome, since back ends reset the
 /// connections, then 112.
 #[test]
-fn back_ends_that_reject_are_sent_a_multiple_of_what_they_take() {
+fn back_ends_that_reject_get_a_multiple_of_the_requests_they_accept() {
     let request = |patience| AdmissionRequest {
         route: "a",
         tenant: None,
@@ -391,7 +391,7 @@
 /// back. Limits divided by the number of routers: 67,000 of 127,000 refusals with 103
 /// routers before 180 back ends at 4 times the capacity, and 5,300 afterwards.
 #[test]
-fn refusals_beside_room_are_few_and_end_with_the_overload() {
+fn refusals_despite_free_capacity_are_few_and_end_with_the_overload() {
     for (routers, back_ends) in [(4, 6), (30, 6), (30, 180), (103, 180), (330, 180)] {
         for overload in [1.5, 4.0] {
             let world = play(plan(routers, back_ends, overload));
@@ -413,7 +413,7 @@
 /// Routers that hear nothing from others know what back ends tell them alone; those
 /// that just started know nothing at first. Neither sends more than its share for long.
 #[test]
-fn routers_that_are_alone_or_new_do_no_harm() {
+fn isolated_and_new_routers_make_few_responses_late() {
     let alone = Plan {
         alone: 20,
         ..plan(103, 180, 3.0)
@@ -434,7 +434,7 @@
 /// the others got 0.84 of their requests in time with four routers and 0.83 with 103, with
 /// them 1.00 and 0.97.
 #[test]
-fn one_tenants_surge_is_not_felt_by_the_others() {
+fn one_tenants_surge_does_not_affect_other_tenants() {
     const ROUTES: [&str; 10] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
     for (routers, back_ends) in [(4, 18), (103, 180)] {
         let kinds = ROUTES.map(|route| Kind {
--- a/crates/stacktack-core/tests/welcome.rs
+++ b/crates/stacktack-core/tests/bootstrap_push.rs
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn of_routers_that_start_at_once_the_last_soon_hears_of_one_that_knows() {
+fn routers_that_start_at_once_are_all_initialized_soon() {
     for (count, bound) in [(4, 200), (20, 300), (48, 1000)] {
         for seed in 0..40 {
             let mut fleet = Fleet::starting(count, seed);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_router_that_starts_beside_others_is_told_at_once() {
+fn a_router_that_joins_a_running_fleet_is_initialized_at_once() {
     for count in [4, 20, 103, 357] {
         let mut waits = Vec::new();
         for seed in 0..10 {
@@ -284,7 +284,7 @@
 
 /// They are told again and again what they do not take, and the others still hear each other.
 #[test]
-fn routers_that_learn_nothing_do_not_silence_the_others() {
+fn routers_that_stay_uninitialized_do_not_silence_the_others() {
     for seed in 0..5 {
         let mut fleet = Fleet::starting(24, seed);
         fleet.run_for(Duration::from_secs(9));
--- a/crates/stacktack-core/tests/peers.rs
+++ b/crates/stacktack-core/tests/peers.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn whoever_knows_more_is_found() {
+fn a_peer_with_a_newer_revision_is_found() {
     let mut fleet = Fleet::new(4);
     let news = [own(1, 0), own(1, 0), own(7, 0), own(2, 0)];
     for round in 0..8 {
@@ -161,7 +161,7 @@
 /// Found by counting tokens read again: the same places went to the first
 /// addresses of a round again and again, and never to the others.
 #[test]
-fn a_place_reaches_every_peer_and_is_told_no_longer() {
+fn a_prefix_location_reaches_every_peer_and_is_then_dropped() {
     let mut fleet = Fleet::new(6);
     let news: Vec<_> = (0..6).map(|_| own(1, 0)).collect();
     for round in 0..40 {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn silent_peers_still_count_for_what_the_fleet_shares() {
+fn silent_peers_still_count_as_active_routers() {
     let mut fleet = Fleet::new(8);
     let news: Vec<_> = (0..8).map(|_| own(1, 0)).collect();
     for round in 0..40 {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_new_life_of_a_peer_is_told() {
+fn a_restart_of_a_peer_is_reported() {
     let mut first = peers(0, &[]);
     let mut second = peers(1, &[0]);
     let datagram = second.tick(&own(1, 0), at(250)).remove(0);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn addresses_of_machines_that_are_gone_are_dropped() {
+fn addresses_of_silent_peers_are_dropped() {
     let mut fleet = Fleet::new(4);
     let news: Vec<_> = (0..4).map(|_| own(1, 0)).collect();
     for round in 0..20 {
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn who_knows_more_in_the_own_zone_is_asked_first() {
+fn a_peer_with_a_newer_revision_in_the_own_zone_is_preferred() {
     let mut first = peers(0, &[]);
     let mut tell = |number: u8, zone: &str, revision: u64| {
         let mut other = Peers::new(
@@ -260,7 +260,7 @@
 /// Routers that start together take the others for known when they know nine of ten, all
 /// but the few that are everybody's seeds.
 #[test]
-fn whoever_takes_the_fleet_for_known_knows_most_of_it() {
+fn routers_that_completed_discovery_know_most_of_the_fleet() {
     let seeds = [0, 1, 2].map(address);
     for count in [4u8, 30, 103, 200] {
         let mut fleet = Fleet::new(count);
@@ -296,7 +296,7 @@
 
 /// A router that was away from the store while its only peer came and went ended when it knew again.
 #[test]
-fn a_newcomer_that_is_gone_is_not_told() {
+fn an_uninitialized_peer_that_fell_silent_gets_no_push() {
     let mut router = peers(1, &[]);
     let mut newcomer = peers(2, &[1]);
     let knows_nothing = OwnGossip::default();
--- a/crates/stacktack-core/tests/planned_stop.rs
+++ b/crates/stacktack-core/tests/planned_stop.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_is_given_up_before_the_end_is_taken_until_it_no_longer_fits() {
+fn a_request_is_admitted_while_its_deadline_precedes_the_end() {
     let limit = milliseconds(3000);
     let slow = Some(milliseconds(9000));
     assert_eq!(decide(limit, slow, at(0)), StopAdmission::FitsByDeadline);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_may_last_longer_is_taken_by_the_longest_run_while_callers_are_sent_here() {
+fn a_longer_request_is_admitted_by_recent_runs_until_deregistration() {
     let limit = milliseconds(10_000);
     let usual = Some(milliseconds(4000));
     assert_eq!(decide(limit, usual, at(0)), StopAdmission::FitsByRecentRuns);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn another_attempt_needs_time_for_its_answer() {
+fn a_retry_needs_time_for_its_response() {
     let stop = PlannedStop::new(at(0), GRACE);
     let request = |longest_run| RequestTiming {
         deadline: at(12_000),
@@ -236,7 +236,7 @@
 
 /// Routers took requests by the time since the signal, whatever time their answers needed.
 #[test]
-fn no_answer_is_cut_that_was_begun_after_callers_had_looked_away() {
+fn no_response_is_cut_of_requests_admitted_after_deregistration() {
     for (routers, gap) in [(1, 0), (4, 700), (24, 300)] {
         for (slower, slow_from) in [(1.0, 0), (4.0, 0), (4.0, 2000), (4.0, 4000)] {
             let slow_from = at(SIGNAL + slow_from);
@@ -250,7 +250,7 @@
 
 /// Of those that are taken by experience few run for longer than the longest of late.
 #[test]
-fn a_planned_stop_cuts_few_answers_of_steady_back_ends_however_long_these_run() {
+fn a_planned_stop_cuts_few_responses_of_steady_back_ends_however_long_runs_take() {
     for seed in 0..5 {
         for slower in [1.0, 2.0, 4.0, 8.0] {
             let outcome = play(4, milliseconds(700), at(0), slower, seed);
--- a/crates/stacktack-core/tests/request_digest.rs
+++ b/crates/stacktack-core/tests/request_digest.rs
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn whatever_differs_makes_another_request() {
+fn requests_that_differ_in_any_part_have_different_digests() {
     let others = [
         RequestIdentity {
             caller: "tenant-two",
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn bytes_do_not_pass_from_one_part_to_the_next() {
+fn bytes_moved_from_one_part_to_the_next_change_the_digest() {
     let first = RequestIdentity {
         target: "/x",
         body: b"yz",
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn its_text_is_read_back_and_other_texts_are_refused() {
+fn the_text_of_a_digest_is_parsed_back_and_invalid_texts_are_rejected() {
     let digest = RequestDigest::of(&REQUEST);
     assert_eq!(digest.to_string().parse(), Ok(digest));
     for text in [
--- a/crates/stacktack-core/tests/retry_budget.rs
+++ b/crates/stacktack-core/tests/retry_budget.rs
@@ -251,7 +251,7 @@
 /// Four routers whose requests swing: no window holds more repeats than the ratio of its
 /// requests, or of those before it.
 #[test]
-fn repeats_stay_within_the_ratio_in_every_window() {
+fn retries_stay_within_the_ratio_in_every_window() {
     let mut draw = ChaCha8Rng::seed_from_u64(7);
     let mut budgets: Vec<PoolRetryBudget> = (0..4)
         .map(|_| PoolRetryBudget::new(BOUND, draw.random()))
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn what_was_earned_can_be_spent_for_one_window() {
+fn earned_permits_expire_after_one_window() {
     let start = Time(1_000_000_000);
     let earn = || {
         let mut budget = PoolRetryBudget::new(BOUND, 0.5);
@@ -290,7 +290,7 @@
 /// The bound holds without the extra too, when all traffic moves from one half of the
 /// routers to the other with each window and every request wants a repeat.
 #[test]
-fn repeats_stay_within_the_ratio_when_traffic_moves_between_routers() {
+fn retries_stay_within_the_ratio_when_traffic_moves_between_routers() {
     let bound = BudgetBound {
         extra: 0.0,
         ..BOUND
@@ -322,7 +322,7 @@
 /// fleet in which each router has few requests. With a share of the extra for each router it
 /// was all of them, and 0.94 and 0.75 with 103 and 330 routers.
 #[test]
-fn most_of_few_failures_are_repeated() {
+fn most_of_few_failures_are_retried() {
     for (routers, least) in FLEETS.into_iter().zip([1.0, 1.0, 0.95, 0.85, 0.5]) {
         let seen = play(plan(routers), 0.04);
         let share = seen.repeats.len() as f64 / seen.wanted as f64;
--- a/crates/stacktack-core/tests/returned_callers.rs
+++ b/crates/stacktack-core/tests/returning_callers.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn in_calm_hardly_anybody_counts_as_returned_however_callers_differ() {
+fn without_refusals_hardly_any_caller_counts_as_returning_whatever_its_timeout() {
     for longest in LONGEST {
         for from in [1.0, 0.98, 0.85, 0.5, 0.2] {
             let share = taken_as_returned(longest, from);
@@ -62,7 +62,7 @@
 
 /// Callers that come back wait less than any first try: they are told from those.
 #[test]
-fn who_comes_back_late_is_told_from_first_tries() {
+fn returning_callers_are_distinguished_from_first_tries() {
     for longest in LONGEST {
         let mut random = ChaCha8Rng::seed_from_u64(4);
         let mut admission = PoolAdmission::default();
@@ -78,7 +78,7 @@
 /// A long overload in which half of all callers are returned ones leaves the belief as it
 /// was.
 #[test]
-fn an_overload_does_not_change_what_is_usual() {
+fn an_overload_does_not_change_the_usual_timeout() {
     let longest = Duration::from_secs(8);
     let mut random = ChaCha8Rng::seed_from_u64(6);
     let mut admission = PoolAdmission::default();
@@ -104,7 +104,7 @@
 /// Where the work shifts to callers that wait less, these are usual after some hundred of
 /// them.
 #[test]
-fn what_is_usual_is_found_again() {
+fn the_usual_timeout_is_learned_again_after_a_change() {
     let mut admission = PoolAdmission::default();
     let mut now = Time(1_000_000);
     let mut see = |admission: &mut PoolAdmission, milliseconds: u64, count: u32| {
@@ -124,7 +124,7 @@
 /// A router that starts within an overload knows no usual patience, and puts nobody
 /// behind.
 #[test]
-fn a_router_that_saw_no_calm_takes_nobody_as_returned() {
+fn a_router_that_starts_in_an_overload_counts_nobody_as_returning() {
     let mut admission = PoolAdmission::default();
     for number in 0..200_u64 {
         let now = Time(1_000_000 + number * 10_000);
--- a/crates/stacktack-core/tests/run_times.rs
+++ b/crates/stacktack-core/tests/run_times.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_longest_run_of_late_counts_and_is_forgotten() {
+fn the_longest_recent_run_counts_and_expires() {
     let times = ended(&[1, 5, 2], 10);
     assert_eq!(times.longest(at(19)), Some(seconds(5)));
     assert_eq!(times.longest(at(20)), None);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn runs_under_way_show_that_back_ends_have_become_slow() {
+fn runs_in_flight_show_that_back_ends_have_become_slow() {
     let mut times = ended(&[1; 30], 10);
     times.begin(at(10));
     let slow = times.begin(at(10));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_run_tells_nothing() {
+fn a_request_that_was_not_run_does_not_count() {
     let mut times = RunTimes::default();
     let refused = times.begin(at(0));
     times.end(refused, false, at(3));
--- a/crates/stacktack-core/tests/hand_over.rs
+++ b/crates/stacktack-core/tests/snapshot_transfers.rs
@@ -26,7 +26,7 @@
 /// 75 routers of a zone that started at once shared the link of the only one that knew: each had the whole
 /// directory after seconds.
 #[test]
-fn few_of_the_own_zone_share_the_link() {
+fn few_routers_of_the_own_zone_share_the_link() {
     let mut handed = SnapshotTransfers::default();
     let begun = (0..75).filter_map(|_| handed.begin(None, at(0)));
     let begun: Vec<u64> = begun.collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_peer_that_stopped_while_it_took_a_copy_makes_room() {
+fn a_transfer_to_a_peer_that_stopped_times_out() {
     let mut handed = SnapshotTransfers::default();
     assert!(handed.begin(zone("b"), at(0)).is_some());
     assert_eq!(handed.begin(zone("b"), at(900)), None);
@@ -46,7 +46,7 @@
 
 /// Nineteen routers of a small fleet waited for turns at two kilobytes.
 #[test]
-fn small_documents_wait_for_no_turn_and_large_ones_do() {
+fn small_snapshots_are_not_limited_and_large_ones_are() {
     for (bytes, near, far) in [(2000, 14..=16, 0..=2), (40_000, 1..=4, 1..=1)] {
         let mut handed = SnapshotTransfers::default();
         let first = handed.begin(None, at(0)).expect("has room");
--- a/crates/stacktack-core/tests/target_fill.rs
+++ b/crates/stacktack-core/tests/target_fill.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_fill_is_found_at_the_knee_and_again_when_it_moves() {
+fn the_target_converges_to_the_knee_and_follows_it() {
     let mut pool = Pool::new();
     for knee in [0.75, 1.3, 0.6, 0.9, 0.75] {
         let found = pool.run(20, knee, 4.0);
@@ -76,7 +76,7 @@
 
 /// Late answers of a pool with room do not lower what it may hold.
 #[test]
-fn late_answers_beside_room_change_nothing() {
+fn late_responses_of_a_pool_with_free_capacity_do_not_lower_the_target() {
     let mut pool = Pool::new();
     pool.fill = 0.3;
     let found = pool.run(20, 0.0, 0.3);
@@ -85,7 +85,7 @@
 
 /// Once there is no more than the pool bears, the usual fill is allowed again.
 #[test]
-fn after_an_overload_the_usual_fill_comes_back() {
+fn the_target_returns_to_its_maximum_after_an_overload() {
     let mut pool = Pool::new();
     assert!(pool.run(20, 0.6, 4.0) < 0.75);
     let found = pool.run(24, 0.6, 0.3);
