--- a/crates/stacktack-core/tests/back_end_state.rs
+++ b/crates/stacktack-core/tests/back_end_state.rs
@@ -1,5 +1,5 @@
-//! What a direct router believes of back ends: who is passed by, who may still hand over,
-//! loads that were counted and told.
+//! State that a direct router keeps for back ends: their health, which of them may still hold
+//! cached parts, and their load as counted by routers and reported by the back ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,16 +39,16 @@
     all
 }
 
-fn standing(all: &BackEnds, id: &str, now: Time) -> Option<Health> {
-    standing_for(all, id, now, Retryability::NotRetryable)
+fn health(all: &BackEnds, id: &str, now: Time) -> Option<Health> {
+    health_for(all, id, now, Retryability::NotRetryable)
 }
 
-fn standing_for(all: &BackEnds, id: &str, now: Time, request: Retryability) -> Option<Health> {
+fn health_for(all: &BackEnds, id: &str, now: Time, request: Retryability) -> Option<Health> {
     all.clone()
         .pool(now, request, |_| true)
         .into_iter()
         .find(|(member, _)| member.entry.id == id)
-        .map(|(_, standing)| standing)
+        .map(|(_, health)| health)
 }
 
 #[test]
@@ -57,23 +57,23 @@
     let member = all.get_mut("a").expect("known");
     assert!(!member.on_unreachable(at(0)));
     assert!(member.on_unreachable(at(10)));
-    assert_eq!(standing(&all, "a", at(20)), Some(Health::Ejected));
-    assert_eq!(standing(&all, "a", at(600)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(20)), Some(Health::Ejected));
+    assert_eq!(health(&all, "a", at(600)), Some(Health::Good));
     let member = all.get_mut("a").expect("known");
     assert!(member.on_unreachable(at(600)), "one more failure is enough");
-    assert_eq!(standing(&all, "a", at(1500)), Some(Health::Ejected));
+    assert_eq!(health(&all, "a", at(1500)), Some(Health::Ejected));
     all.get_mut("a").expect("known").on_bytes(at(1500));
-    assert_eq!(standing(&all, "a", at(1500)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(1500)), Some(Health::Good));
 }
 
 #[test]
 fn silence_with_requests_in_flight_ejects_a_back_end() {
     let mut all = back_ends(&["a", "b"]);
     all.get_mut("a").expect("known").on_send(at(100));
-    assert_eq!(standing(&all, "a", at(500)), Some(Health::Good));
-    assert_eq!(standing(&all, "a", at(600)), Some(Health::Ejected));
+    assert_eq!(health(&all, "a", at(500)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(600)), Some(Health::Ejected));
     all.get_mut("a").expect("known").on_bytes(at(600));
-    assert_eq!(standing(&all, "a", at(700)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(700)), Some(Health::Good));
 }
 
 #[test]
@@ -87,38 +87,39 @@
             member.load.on_end(at(0));
         }
     }
-    assert_eq!(standing(&all, "a", at(50)), Some(Health::Degraded));
-    assert_eq!(standing(&all, "b", at(50)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(50)), Some(Health::Degraded));
+    assert_eq!(health(&all, "b", at(50)), Some(Health::Good));
 }
 
-/// Standings of a back end after each of thirty answers that took so many milliseconds.
-fn standings_beside(all: &mut BackEnds, id: &str, took: u64) -> Vec<Option<Health>> {
-    let mut standings = Vec::new();
+/// Health of a back end after each of thirty responses with this time to the first byte, in
+/// milliseconds.
+fn health_after_responses(all: &mut BackEnds, id: &str, first_byte_ms: u64) -> Vec<Option<Health>> {
+    let mut history = Vec::new();
     for now in 0..30 {
         let member = all.get_mut(id).expect("known");
         member.on_send(at(now));
-        member.on_first_byte(Duration::from_millis(took));
+        member.on_first_byte(Duration::from_millis(first_byte_ms));
         member.load.on_end(at(now));
-        standings.push(standing(all, id, at(now)));
+        history.push(health(all, id, at(now)));
     }
-    standings
+    history
 }
 
 #[test]
 fn clearly_slower_than_the_pool_degrades_until_it_was_idle_for_a_while() {
-    let mut usual = back_ends(&["a", "b", "c"]);
+    let mut all = back_ends(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
-        let standings = standings_beside(&mut usual, id, 50);
-        assert!(standings.iter().all(|one| *one == Some(Health::Good)));
+        let history = health_after_responses(&mut all, id, 50);
+        assert!(history.iter().all(|one| *one == Some(Health::Good)));
     }
-    let twice = standings_beside(&mut usual.clone(), "a", 100);
+    let twice = health_after_responses(&mut all.clone(), "a", 100);
     assert!(twice.iter().all(|one| *one == Some(Health::Good)));
-    let slow = standings_beside(&mut usual, "a", 200);
+    let slow = health_after_responses(&mut all, "a", 200);
     assert_eq!(slow[0], Some(Health::Good), "one slow answer");
     assert_eq!(slow[29], Some(Health::Degraded));
-    assert_eq!(standing(&usual, "b", at(30)), Some(Health::Good));
-    assert_eq!(standing(&usual, "a", at(2900)), Some(Health::Degraded));
-    assert_eq!(standing(&usual, "a", at(3100)), Some(Health::Good));
+    assert_eq!(health(&all, "b", at(30)), Some(Health::Good));
+    assert_eq!(health(&all, "a", at(2900)), Some(Health::Degraded));
+    assert_eq!(health(&all, "a", at(3100)), Some(Health::Good));
 }
 
 #[test]
@@ -129,7 +130,7 @@
     leaving.leaving = true;
     all.upsert(leaving, at(1), &mut change);
     assert_eq!(change.leaving, ["a"]);
-    assert_eq!(standing(&all, "a", at(2)), None);
+    assert_eq!(health(&all, "a", at(2)), None);
     assert_eq!(all.count_accepting_work(), 1);
     let holder = likely_holder(all.iter(), 5, "b").map(|member| member.entry.id.as_str());
     assert_eq!(holder, Some("a"));
@@ -178,7 +179,7 @@
 #[test]
 fn pools_are_selected_by_labels() {
     let mut all = back_ends(&["a"]);
-    let wanted = Requirement {
+    let requirement = Requirement {
         key: "service".to_owned(),
         equals: Some("other".to_owned()),
         not_equals: None,
@@ -187,7 +188,7 @@
         exists: None,
     };
     let pool = all.pool(at(0), Retryability::NotRetryable, |entry| {
-        wanted.matches(&entry.labels)
+        requirement.matches(&entry.labels)
     });
     assert!(pool.is_empty());
 }
@@ -205,14 +206,14 @@
     assert!(near(member.load.estimate(at(20)), 6.0));
     assert!(
         near(member.load.estimate(at(400)), 3.0),
-        "told too long ago"
+        "reported too long ago"
     );
     member.load.on_report(1, at(500));
     assert!(near(member.load.estimate(at(500)), 3.0));
 }
 
-/// In a large fleet the peers' own counts are seconds old, so that they count only
-/// while the back end tells nothing.
+/// In a large fleet the peers' own counts are seconds old, so that they count only while there is
+/// no recent report of the back end.
 #[test]
 fn in_a_large_fleet_the_load_is_the_recent_report_of_the_back_end() {
     let mut all = back_ends(&["a"]);
@@ -225,7 +226,7 @@
     assert!(near(member.load.estimate(at(5005)), 6.0));
     assert!(
         near(member.load.estimate(at(5011)), 3.0),
-        "told too long ago"
+        "reported too long ago"
     );
     member.load.on_report(1, at(6000));
     assert!(near(member.load.estimate(at(6000)), 1.0));
@@ -236,8 +237,8 @@
     );
 }
 
-/// Found on days of overload: requests that this router sent after a load was told
-/// were taken for some of those that the load counted.
+/// Guards against estimates that are too low under overload: requests that this router sent after a
+/// load report were taken for some of those that the report counted.
 #[test]
 fn requests_sent_since_a_load_report_are_added_to_it() {
     let mut all = back_ends(&["a"]);
--- a/crates/stacktack-core/tests/ineligible_members.rs
+++ b/crates/stacktack-core/tests/ineligible_members.rs
@@ -1,5 +1,5 @@
-//! Members of a pool that may get no request now: they count in the mean, and nothing
-//! goes to them.
+//! Members of a pool that are not eligible for requests now: they count in the mean load, and get
+//! no requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use stacktack_core::direct::traffic::route::RouteKind;
 use stacktack_core::time::Time;
 
-/// A pool of which every `nth` member is closed.
+/// A pool in which every `nth` member is ineligible.
 fn pool(members: usize, load: impl Fn(usize) -> f64, nth: usize) -> Vec<DirectCandidate> {
     (0..members)
         .map(|index| DirectCandidate {
@@ -40,7 +40,7 @@
         let by_load = select_by_load(&pool, part, &bounds).expect("chosen");
         for chosen in [by_part, by_load] {
             assert_ne!(chosen.index % 4, 0);
-            assert!((chosen.mean - 6.75).abs() < 1e-9, "closed ones count");
+            assert!((chosen.mean - 6.75).abs() < 1e-9, "ineligible ones count");
         }
     }
 }
@@ -53,8 +53,8 @@
     assert_eq!(select_by_load(&pool, 7, &bounds), None);
 }
 
-/// With two of four members closed the others carry twice the mean: affinity goes on to
-/// hold, within a tenth of what they carry.
+/// With half of the members ineligible, the others hold twice the mean load. Requests still go to
+/// their homes as long as a home is less than a tenth above the mean of the eligible members.
 #[test]
 fn affinity_holds_while_half_of_the_pool_is_ineligible() {
     let pool = pool(8, |index| if index % 2 == 0 { 0.0 } else { 40.0 }, 2);
@@ -65,8 +65,8 @@
     }
 }
 
-/// Homes over the bound are passed by for the least loaded of the next ones, so that not
-/// all routers pass on to the same one.
+/// Requests spill from a home above the bound to the least loaded of the next members, so that not
+/// all routers spill to the same one.
 #[test]
 fn with_many_ineligible_members_requests_spill_to_the_least_loaded_near_the_home() {
     let loads = |index: usize| match index % 4 {
@@ -75,8 +75,8 @@
         2 => 9.0,
         _ => 4.0,
     };
-    let closed = pool(40, loads, 4);
-    let all_open: Vec<DirectCandidate> = closed
+    let some_ineligible = pool(40, loads, 4);
+    let all_eligible: Vec<DirectCandidate> = some_ineligible
         .iter()
         .map(|candidate| DirectCandidate {
             eligible: true,
@@ -98,11 +98,11 @@
         assert!(spilled.len() > 100);
         spilled.iter().sum::<f64>() / spilled.len() as f64
     };
-    assert!(mean_of_spilled(&closed) < 5.0);
-    assert!(mean_of_spilled(&all_open) > 6.0);
+    assert!(mean_of_spilled(&some_ineligible) < 5.0);
+    assert!(mean_of_spilled(&all_eligible) > 6.0);
 }
 
-/// What a drained back end told last does not count as its load for seconds.
+/// The last load that a drained back end reported does not count in full for seconds.
 #[test]
 fn the_reported_load_of_an_ineligible_member_decays() {
     let report = |age: Option<u64>| LoadReport {
@@ -132,10 +132,11 @@
     BackEnd::new(entry, Time(0))
 }
 
-/// The story. All 42 back ends of a pool started anew at their addresses. Routers that
-/// had not heard of it asked one after the other for the old instances: 6,843 arrivals
-/// beyond the first of their requests in 10 s, 2,551 allowed. One answer says for good
-/// that an instance is gone; and what arrived somewhere is a repeat when it is sent again.
+/// Guards against a flood of retries after all 42 back ends of a pool restarted at their addresses.
+/// Routers that had not learned of it tried one old instance after the other: in 10 s, requests
+/// arrived 6,843 times beyond their first arrival, where 2,551 are allowed. One response of another
+/// instance therefore shows for good that the old one is gone, and a request that arrived at any
+/// instance counts as a retry when it is sent again.
 #[test]
 fn an_instance_replaced_at_its_address_gets_no_more_requests() {
     let mut known = back_end();
@@ -146,22 +147,22 @@
 
 #[test]
 fn a_misdirected_try_is_retried_out_of_the_retry_budget() {
-    let mut ledger = AttemptHistory::default();
-    ledger.record(AttemptFailure::Unreached);
-    assert!(!ledger.has_arrived());
-    ledger.record(AttemptFailure::OtherInstance);
-    assert!(ledger.has_arrived());
-    assert!(!ledger.may_have_run);
-    assert!(ledger.may_send_again(RouteKind::Once, 1), "it has not run");
+    let mut history = AttemptHistory::default();
+    history.record(AttemptFailure::Unreached);
+    assert!(!history.has_arrived());
+    history.record(AttemptFailure::OtherInstance);
+    assert!(history.has_arrived());
+    assert!(!history.may_have_run);
+    assert!(history.may_send_again(RouteKind::Once, 1), "it has not run");
 }
 
-/// A release holds back a few members at a time: the next home within the bound takes what
-/// goes by a full one then, as while all are open.
+/// A rolling release makes a few members ineligible at a time: the next member below the bound then
+/// takes the requests that spill from a full home, as while all members are eligible.
 #[test]
 fn with_few_ineligible_members_requests_spill_in_rendezvous_order() {
     let loads = |index: usize| if index.is_multiple_of(2) { 40.0 } else { 9.0 };
-    let few_closed = pool(40, loads, 10);
-    let all_open: Vec<DirectCandidate> = few_closed
+    let few_ineligible = pool(40, loads, 10);
+    let all_eligible: Vec<DirectCandidate> = few_ineligible
         .iter()
         .map(|candidate| DirectCandidate {
             eligible: true,
@@ -170,8 +171,8 @@
         .collect();
     let bounds = SelectBounds::for_load_cap(2.0);
     for part in 0..200 {
-        let chosen = select_by_affinity(&few_closed, part, &bounds).expect("chosen");
-        let with_all = select_by_affinity(&all_open, part, &bounds).expect("chosen");
+        let chosen = select_by_affinity(&few_ineligible, part, &bounds).expect("chosen");
+        let with_all = select_by_affinity(&all_eligible, part, &bounds).expect("chosen");
         assert_eq!(chosen.index, with_all.index);
     }
 }
--- a/crates/stacktack-core/tests/part_shares.rs
+++ b/crates/stacktack-core/tests/part_shares.rs
@@ -1,4 +1,4 @@
-//! Over how many places a prompt part is spread.
+//! Number of replicas over which a prompt part is spread.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 const MEMBERS: usize = 180;
 const HOT: u64 = 1;
 
-/// A pool of which a home is passed by at one and a half times the mean and two.
-fn pool_of(members: usize, mean_load: f64) -> PoolStats {
+/// A pool in which requests spill from a home at one and a half times the mean load plus two.
+fn pool_stats(members: usize, mean_load: f64) -> PoolStats {
     PoolStats {
         members,
         mean_load,
@@ -20,15 +20,16 @@
     }
 }
 
-fn large() -> PoolStats {
-    pool_of(MEMBERS, 5.0)
+fn large_pool() -> PoolStats {
+    pool_stats(MEMBERS, 5.0)
 }
 
 fn at(millis: u64) -> Time {
     Time(1_000_000) + Duration::from_millis(millis)
 }
 
-/// Requests with a part of their own each, and every `one_in`-th with the hot one, 10 ms apart.
+/// Shares after requests 10 ms apart: every `one_in`-th has the hot part, each other request a part
+/// of its own.
 fn shares(one_in: u64, requests: u64) -> PartShares {
     let mut shares = PartShares::default();
     for number in 0..requests {
@@ -45,44 +46,46 @@
 #[test]
 fn a_part_that_few_requests_have_stays_at_its_home() {
     let shares = shares(4, 100);
-    assert_eq!(shares.replicas(101, &large()), 1);
-    assert_eq!(shares.replicas(7, &large()), 1, "never seen");
-    assert_eq!(PartShares::default().replicas(HOT, &large()), 1);
+    assert_eq!(shares.replicas(101, &large_pool()), 1);
+    assert_eq!(shares.replicas(7, &large_pool()), 1, "never seen");
+    assert_eq!(PartShares::default().replicas(HOT, &large_pool()), 1);
 }
 
-/// Where a router gets few requests two of them have the same part by chance, and each further place reads it again.
+/// Where a router gets few requests, two of them have the same part by chance, and each further
+/// replica has to read the part again.
 #[test]
 fn two_of_a_dozen_requests_do_not_spread_a_part() {
-    assert_eq!(shares(6, 12).replicas(HOT, &large()), 1);
-    assert!(shares(4, 12).replicas(HOT, &large()) > 1);
+    assert_eq!(shares(6, 12).replicas(HOT, &large_pool()), 1);
+    assert!(shares(4, 12).replicas(HOT, &large_pool()) > 1);
 }
 
 /// A quarter of the requests is the load of 45 of 180 members.
 #[test]
 fn a_part_that_many_requests_have_is_spread_by_its_share() {
-    assert!(shares(4, 100).replicas(HOT, &large()) > 45);
-    assert!(shares(4, 100).replicas(HOT, &pool_of(6, 8.0)) <= 6);
-    let rarer = shares(20, 100).replicas(HOT, &large());
+    assert!(shares(4, 100).replicas(HOT, &large_pool()) > 45);
+    assert!(shares(4, 100).replicas(HOT, &pool_stats(6, 8.0)) <= 6);
+    let rarer = shares(20, 100).replicas(HOT, &large_pool());
     assert!((2..45).contains(&rarer), "{rarer}");
 }
 
-/// One router, two members and one request at a time: all requests share a part, and its home is not crowded.
+/// One router, two members and one request at a time: all requests share a part, and its home is
+/// not overloaded.
 #[test]
 fn a_part_whose_load_fits_stays_at_its_home() {
     let all = shares(1, 100);
-    assert_eq!(all.replicas(HOT, &pool_of(2, 0.0)), 1);
-    assert_eq!(all.replicas(HOT, &pool_of(2, 0.5)), 1);
-    assert!(all.replicas(HOT, &pool_of(2, 8.0)) > 1);
+    assert_eq!(all.replicas(HOT, &pool_stats(2, 0.0)), 1);
+    assert_eq!(all.replicas(HOT, &pool_stats(2, 0.5)), 1);
+    assert!(all.replicas(HOT, &pool_stats(2, 8.0)) > 1);
     let share = shares(4, 100);
-    assert_eq!(share.replicas(HOT, &pool_of(MEMBERS, 0.05)), 1);
-    assert!(share.replicas(HOT, &large()) > 1);
+    assert_eq!(share.replicas(HOT, &pool_stats(MEMBERS, 0.05)), 1);
+    assert!(share.replicas(HOT, &large_pool()) > 1);
 }
 
 #[test]
 fn a_part_that_is_no_longer_hot_is_back_at_its_home() {
     let mut shares = shares(4, 100);
     shares.record(2, at(10_000));
-    assert_eq!(shares.replicas(HOT, &large()), 1);
+    assert_eq!(shares.replicas(HOT, &large_pool()), 1);
 }
 
 fn pool(loads: &[f64]) -> Vec<DirectCandidate> {
@@ -98,27 +101,28 @@
     loads.iter().enumerate().map(candidate).collect()
 }
 
-/// All routers find the same places, and those of a part that is spread further hold the earlier ones.
+/// All routers find the same replicas, and a part that is spread over more replicas keeps the
+/// earlier ones.
 #[test]
 fn replicas_of_a_part_are_the_first_in_its_rendezvous_order() {
     let pool = pool(&[3.0; 12]);
     let bounds = SelectBounds::for_load_cap(2.0);
-    let begun_at = |places: usize| -> BTreeSet<usize> {
-        let chosen = (0..places).map(|first| {
-            let bounds = bounds.spread_over(places, first);
+    let starts_at = |replicas: usize| -> BTreeSet<usize> {
+        let chosen = (0..replicas).map(|first| {
+            let bounds = bounds.spread_over(replicas, first);
             let chosen = select_by_affinity(&pool, HOT, &bounds).expect("chosen");
             assert_eq!((chosen.rank, chosen.start_index), (0, Some(chosen.index)));
             chosen.index
         });
         chosen.collect()
     };
-    for places in 1..12 {
-        assert_eq!(begun_at(places).len(), places);
-        assert!(begun_at(places).is_subset(&begun_at(places + 1)));
+    for replicas in 1..12 {
+        assert_eq!(starts_at(replicas).len(), replicas);
+        assert!(starts_at(replicas).is_subset(&starts_at(replicas + 1)));
     }
 }
 
-/// More places than members that may get the request: none is asked for beyond them.
+/// With more replicas than eligible members, no ineligible member is chosen.
 #[test]
 fn a_part_is_spread_over_eligible_members_only() {
     let mut pool = pool(&[3.0; 4]);
--- a/crates/stacktack-core/tests/quarantine/main.rs
+++ b/crates/stacktack-core/tests/quarantine/main.rs
@@ -1,6 +1,8 @@
-//! Requests that end the back ends which run them are set aside, and no others.
+//! Requests that crash the back ends which run them are set aside, and no others.
 //!
-//! The story stands in the process test `fatal_requests`. Here whole fleets play it on virtual time.
+//! Without a quarantine, a request that crashes its back end takes down one back end after the
+//! other as it is retried and sent again. The process test `fatal_requests` shows the fault with
+//! real processes; here whole fleets are simulated on virtual time.
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
@@ -10,7 +12,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use simulation::{digest, life_of, Outcome, Plan, Simulation};
+use simulation::{digest, instance_id, Outcome, Scenario, Simulation};
 use stacktack_core::direct::back_ends::directory::InstanceId;
 use stacktack_core::direct::quarantine::interrupted_runs::{InterruptedRun, InterruptedRuns};
 use stacktack_core::direct::quarantine::record::{RecordGossip, Treatment};
@@ -20,116 +22,129 @@
 const SECOND: Duration = Duration::from_secs(1);
 const NOW: Time = Time(100_000_000);
 
-/// Sizes of fleets, and back ends before each.
+/// Numbers of routers and of back ends.
 const FLEETS: [(usize, usize); 5] = [(1, 6), (4, 18), (23, 40), (103, 180), (330, 180)];
 
-fn plan(routers: usize, back_ends: usize) -> Plan {
-    Plan {
+fn scenario(routers: usize, back_ends: usize) -> Scenario {
+    Scenario {
         seed: 5,
         routers,
         back_ends,
         rate: 10.0,
         fatal: 1,
-        fatal_every: Duration::from_millis(200),
-        length: Duration::from_secs(20),
-        protected: true,
-        same: 0.0,
-        lives_for: None,
+        fatal_interval: Duration::from_millis(200),
+        duration: Duration::from_secs(20),
+        has_quarantine: true,
+        common_share: 0.0,
+        mean_uptime: None,
     }
 }
 
-fn show(name: &str, plan: &Plan, outcome: &Outcome) {
+fn show(name: &str, scenario: &Scenario, outcome: &Outcome) {
     println!(
-        "{name}: {} routers, {} back ends: ends {}, late {:?}, innocent tries {}, shut out {}, served {}, {:.0} B/s",
-        plan.routers,
-        plan.back_ends,
-        outcome.ends,
-        outcome.late,
-        outcome.innocent,
-        outcome.shut_out,
+        "{name}: {} routers, {} back ends: crashes {}, late sends {:?}, innocent tries {}, set aside {}, served {}, {:.0} B/s",
+        scenario.routers,
+        scenario.back_ends,
+        outcome.crashes,
+        outcome.late_sends,
+        outcome.innocent_tries,
+        outcome.set_aside,
         outcome.served,
         outcome.bytes_per_second,
     );
 }
 
-/// A request that comes each 200 ms, to any router: at most three sends once three seconds have
-/// passed since its third end. Without a quarantine 146 at 4 routers, all that came.
+/// A fatal request comes to a random router every 200 ms: it is sent at most three more times once
+/// three seconds have passed since the third crash. Without a quarantine, 4 routers send it 146
+/// times then: every try and retry.
 #[test]
 fn a_fatal_request_is_set_aside_in_fleets_of_any_size() {
     for (routers, back_ends) in FLEETS {
-        let plan = plan(routers, back_ends);
-        let outcome = Simulation::play(plan);
-        show("one fatal", &plan, &outcome);
-        assert!(outcome.late.iter().all(|late| *late <= 3), "{outcome:?}");
+        let scenario = scenario(routers, back_ends);
+        let outcome = Simulation::run(scenario);
+        show("one fatal", &scenario, &outcome);
+        assert!(
+            outcome.late_sends.iter().all(|late| *late <= 3),
+            "{outcome:?}"
+        );
         assert!(outcome.bytes_per_second <= 2048.0, "{outcome:?}");
-        assert_eq!(outcome.shut_out, 0, "{outcome:?}");
+        assert_eq!(outcome.set_aside, 0, "{outcome:?}");
     }
 }
 
 #[test]
 fn without_a_quarantine_a_fatal_request_keeps_crashing_back_ends() {
-    let plan = Plan {
-        protected: false,
-        ..plan(4, 18)
+    let scenario = Scenario {
+        has_quarantine: false,
+        ..scenario(4, 18)
     };
-    let outcome = Simulation::play(plan);
-    show("unprotected", &plan, &outcome);
-    assert!(outcome.late[0] > 50, "{outcome:?}");
+    let outcome = Simulation::run(scenario);
+    show("no quarantine", &scenario, &outcome);
+    assert!(outcome.late_sends[0] > 50, "{outcome:?}");
 }
 
 #[test]
 fn several_fatal_requests_at_once_are_set_aside() {
-    let plan = Plan {
+    let scenario = Scenario {
         fatal: 4,
-        fatal_every: Duration::from_millis(500),
-        ..plan(23, 40)
+        fatal_interval: Duration::from_millis(500),
+        ..scenario(23, 40)
     };
-    let outcome = Simulation::play(plan);
-    show("four fatal", &plan, &outcome);
-    assert!(outcome.late.iter().all(|late| *late <= 3), "{outcome:?}");
-    assert!(outcome.shut_out * 500 < outcome.innocent, "{outcome:?}");
+    let outcome = Simulation::run(scenario);
+    show("four fatal", &scenario, &outcome);
+    assert!(
+        outcome.late_sends.iter().all(|late| *late <= 3),
+        "{outcome:?}"
+    );
+    assert!(
+        outcome.set_aside * 500 < outcome.innocent_tries,
+        "{outcome:?}"
+    );
 }
 
 #[test]
 fn a_rare_fatal_request_is_set_aside() {
-    let every = Duration::from_secs(4);
-    let plan = Plan {
-        fatal_every: every,
-        length: Duration::from_secs(60),
-        ..plan(23, 40)
+    let interval = Duration::from_secs(4);
+    let scenario = Scenario {
+        fatal_interval: interval,
+        duration: Duration::from_secs(60),
+        ..scenario(23, 40)
     };
-    let outcome = Simulation::play(plan);
-    show("seldom", &plan, &outcome);
-    assert!(outcome.late[0] <= 3, "{outcome:?}");
+    let outcome = Simulation::run(scenario);
+    show("rare fatal", &scenario, &outcome);
+    assert!(outcome.late_sends[0] <= 3, "{outcome:?}");
 }
 
-/// Back ends that end by themselves, each after six seconds in the mean, and a request
-/// that a fifth of all callers send: nobody is shut out for what others did.
+/// Back ends crash for reasons of their own, each after six seconds on average, and a fifth of the
+/// tries send the same request: fewer than 1 in 1000 tries are refused.
 #[test]
 fn crashes_unrelated_to_requests_set_hardly_any_request_aside() {
     for seed in 1..=4 {
-        let plan = Plan {
+        let scenario = Scenario {
             seed,
             fatal: 0,
-            same: 0.2,
-            lives_for: Some(Duration::from_secs(6)),
-            ..plan(23, 40)
+            common_share: 0.2,
+            mean_uptime: Some(Duration::from_secs(6)),
+            ..scenario(23, 40)
         };
-        let outcome = Simulation::play(plan);
-        show("own ends", &plan, &outcome);
-        assert!(outcome.shut_out * 1000 < outcome.innocent, "{outcome:?}");
+        let outcome = Simulation::run(scenario);
+        show("own crashes", &scenario, &outcome);
+        assert!(
+            outcome.set_aside * 1000 < outcome.innocent_tries,
+            "{outcome:?}"
+        );
     }
 }
 
-fn life(number: u64) -> InstanceId {
-    life_of(0, number)
+fn instance(number: u64) -> InstanceId {
+    instance_id(0, number)
 }
 
-/// A quarantine in which request 1 is set aside.
-fn convicted() -> Quarantine {
+/// Quarantine in which request 1 is set aside.
+fn with_verdict() -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 1..=3 {
-        quarantine.on_crash(digest(1), life(number), number > 1, NOW);
+        quarantine.on_crash(digest(1), instance(number), number > 1, NOW);
     }
     quarantine
 }
@@ -147,7 +162,7 @@
         (4, true),
         (5, true),
     ] {
-        quarantine.on_crash(request, life(number), on_probation, NOW);
+        quarantine.on_crash(request, instance(number), on_probation, NOW);
         seen.push(quarantine.treatment(request, NOW));
     }
     let expected = [
@@ -164,7 +179,7 @@
 
 #[test]
 fn a_successful_run_clears_a_request_and_resets_its_crash_count() {
-    let mut quarantine = convicted();
+    let mut quarantine = with_verdict();
     let change = quarantine
         .on_successful_run(digest(1), NOW)
         .expect("a change");
@@ -175,36 +190,36 @@
     assert_eq!(
         quarantine.verdicts_to_remove(),
         [digest(1)],
-        "the store is told"
+        "to be deleted from the store"
     );
-    quarantine.on_crash(digest(1), life(4), true, NOW);
+    quarantine.on_crash(digest(1), instance(4), true, NOW);
     assert_eq!(quarantine.treatment(digest(1), NOW), Treatment::Watched);
 }
 
-/// Whatever is told how often and in whichever order, all routers believe the same in the end.
+/// All routers end with the same treatments, however often and in whichever order gossip arrives.
 #[test]
 fn gossip_merges_in_any_order() {
     let mut random = ChaCha8Rng::seed_from_u64(9);
     for _ in 0..200 {
         let mut routers = vec![Quarantine::default(); 4];
-        let mut told: Vec<RecordGossip> = Vec::new();
+        let mut gossip: Vec<RecordGossip> = Vec::new();
         for _ in 0..random.random_range(1..12) {
             let router = random.random_range(0..4);
             let request = digest(random.random_range(0..2));
             if random.random_bool(0.2) {
                 routers[router].on_successful_run(request, NOW);
             } else {
-                let life = life(random.random_range(0..6));
-                routers[router].on_crash(request, life, random.random_bool(0.5), NOW);
+                let instance = instance(random.random_range(0..6));
+                routers[router].on_crash(request, instance, random.random_bool(0.5), NOW);
             }
-            told.extend(routers[router].gossip(NOW));
+            gossip.extend(routers[router].gossip(NOW));
         }
         for router in &mut routers {
-            for _ in 0..2 * told.len() {
-                let news = told[random.random_range(0..told.len())].clone();
-                router.merge(&[news], 0.0, NOW);
+            for _ in 0..2 * gossip.len() {
+                let record = gossip[random.random_range(0..gossip.len())].clone();
+                router.merge(&[record], 0.0, NOW);
             }
-            router.merge(&told, 0.0, NOW);
+            router.merge(&gossip, 0.0, NOW);
         }
         for request in [digest(0), digest(1)] {
             let treatments: Vec<_> = routers
@@ -221,7 +236,7 @@
 
 #[test]
 fn a_verdict_is_written_by_the_router_that_reached_it_and_later_by_its_peers() {
-    let mut own = convicted();
+    let mut own = with_verdict();
     let verdict = StoredVerdict {
         digest: digest(1),
         epoch: 0,
@@ -233,7 +248,7 @@
     assert_eq!(
         other.verdicts_to_write(NOW + SECOND * 3),
         [verdict],
-        "if nobody did"
+        "no other router wrote it"
     );
     own.on_verdicts_written(&[verdict], &[], NOW + SECOND);
     assert!(own.verdicts_to_write(NOW + SECOND * 9).is_empty());
@@ -255,7 +270,7 @@
 
 #[test]
 fn an_operator_lifts_a_verdict_by_deleting_it_from_the_store() {
-    let mut quarantine = convicted();
+    let mut quarantine = with_verdict();
     let verdict = StoredVerdict {
         digest: digest(1),
         epoch: 0,
@@ -275,18 +290,18 @@
     );
     quarantine.apply_stored(&[], NOW + SECOND * 2, NOW + SECOND * 2);
     assert_eq!(quarantine.treatment(digest(1), NOW), Treatment::Usual);
-    let mut other = convicted();
+    let mut other = with_verdict();
     other.merge(&quarantine.gossip(NOW + SECOND * 2), 0.0, NOW + SECOND * 2);
     assert_eq!(
         other.treatment(digest(1), NOW),
         Treatment::Usual,
-        "others hear of it"
+        "others learn of it"
     );
 }
 
 #[test]
 fn an_outdated_verdict_in_the_store_is_dropped() {
-    let mut quarantine = convicted();
+    let mut quarantine = with_verdict();
     quarantine.on_successful_run(digest(1), NOW);
     let verdict = StoredVerdict {
         digest: digest(1),
@@ -298,12 +313,13 @@
     assert_eq!(quarantine.verdicts_to_remove(), [digest(1)]);
 }
 
-/// Whoever ends back ends with ever new requests fills the table, and pushes no verdict out.
+/// A caller that crashes back ends with ever new requests fills the table of records; verdicts
+/// stay.
 #[test]
 fn a_flood_of_fatal_requests_evicts_no_verdict() {
-    let mut quarantine = convicted();
+    let mut quarantine = with_verdict();
     for number in 10..10_000 {
-        quarantine.on_crash(digest(number), life(number), true, NOW + SECOND);
+        quarantine.on_crash(digest(number), instance(number), true, NOW + SECOND);
     }
     assert_eq!(
         quarantine.treatment(digest(1), NOW + SECOND),
@@ -313,10 +329,10 @@
 
 #[test]
 fn records_without_a_verdict_expire() {
-    let mut quarantine = convicted();
-    quarantine.on_crash(digest(2), life(1), false, NOW);
-    quarantine.on_crash(digest(3), life(1), false, NOW);
-    quarantine.on_crash(digest(3), life(2), false, NOW);
+    let mut quarantine = with_verdict();
+    quarantine.on_crash(digest(2), instance(1), false, NOW);
+    quarantine.on_crash(digest(3), instance(1), false, NOW);
+    quarantine.on_crash(digest(3), instance(2), false, NOW);
     let expected = [
         (
             3599,
@@ -353,19 +369,21 @@
         on_probation: false,
         at,
     };
-    runs.add(life(1), run(1, NOW));
-    runs.add(life(1), run(2, NOW + SECOND));
-    runs.add(life(2), run(3, NOW));
-    assert!(!runs.has_ended(life(1)));
-    let broken = runs.on_back_end_ended(life(1), NOW + SECOND * 8);
+    runs.add(instance(1), run(1, NOW));
+    runs.add(instance(1), run(2, NOW + SECOND));
+    runs.add(instance(2), run(3, NOW));
+    assert!(!runs.has_ended(instance(1)));
+    let interrupted = runs.on_back_end_ended(instance(1), NOW + SECOND * 8);
     assert_eq!(
-        broken,
+        interrupted,
         [run(2, NOW + SECOND)],
-        "the first is too old to be its doing"
+        "the first is too old to be due to the crash"
     );
     assert!(
-        runs.has_ended(life(1)) && !runs.has_unexplained(life(1)) && runs.has_unexplained(life(2))
+        runs.has_ended(instance(1))
+            && !runs.has_unexplained(instance(1))
+            && runs.has_unexplained(instance(2))
     );
     runs.expire(NOW + SECOND * 30);
-    assert!(!runs.has_ended(life(1)) && !runs.has_unexplained(life(2)));
+    assert!(!runs.has_ended(instance(1)) && !runs.has_unexplained(instance(2)));
 }
--- a/crates/stacktack-core/tests/quarantine/simulation.rs
+++ b/crates/stacktack-core/tests/quarantine/simulation.rs
@@ -1,8 +1,10 @@
-//! Routers before back ends, some of whose requests end what runs them, on virtual time.
+//! Simulation, on virtual time, of routers and back ends with requests of which some crash the
+//! back end that runs them.
 //!
-//! Innocent requests are spread over the back ends and run for half a second; an end breaks all
-//! that a back end was running. Callers come back once. Fatal requests come again and again, each
-//! time to another router. Routers tell each other within the budget of bytes; 3 in 100 datagrams are lost.
+//! Innocent requests are spread over the back ends and run for half a second on average. A crash
+//! interrupts all runs of the back end. A caller whose request failed returns once. Fatal requests
+//! come again and again, each time to a random router. Routers gossip within their byte budget;
+//! 3 in 100 datagrams are lost.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,55 +26,64 @@
 
 use crate::event_queue::{random_time, EventQueue};
 
-const INTERVAL: Duration = Duration::from_millis(100);
-const LOSS: f64 = 0.03;
-const DELAY: Duration = Duration::from_millis(2);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
+const DATAGRAM_LOSS: f64 = 0.03;
+const DATAGRAM_DELAY: Duration = Duration::from_millis(2);
+
+/// Gossip budget of a router.
 const BYTES_PER_SECOND: f64 = 1800.0;
 
-/// Time for which routers get to know each other before the first fatal request.
+/// Time for which routers discover each other before the first fatal request.
 const WARM_UP: Duration = Duration::from_secs(8);
 
-/// Time from the beginning of a fatal run to the end of its back end, in the mean.
+/// Mean time from the start of a fatal run to the crash of its back end.
 const CRASH_SECONDS: f64 = 0.3;
+
+/// Mean duration of an innocent run.
 const RUN_SECONDS: f64 = 0.5;
-const DOWN: Duration = Duration::from_millis(2500);
 
-/// Time after which a caller comes back.
-const COME_BACK: Duration = Duration::from_millis(400);
+/// Time from the crash of a back end to its restart.
+const DOWNTIME: Duration = Duration::from_millis(2500);
+
+/// Time after which a caller whose request failed returns.
+const RETURN_DELAY: Duration = Duration::from_millis(400);
 
-/// Time that routers may take after the third end.
-pub const CONTACT: Duration = Duration::from_secs(3);
+/// Time after the third crash under a fatal request from which further sends of the request count
+/// as late.
+pub const MAX_REACTION_TIME: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     pub routers: usize,
     pub back_ends: usize,
-    /// Innocent requests a second for each back end.
+    /// Innocent requests per second for each back end.
     pub rate: f64,
-    /// Fatal requests, and the time between two tries of one.
+    /// Number of different fatal requests.
     pub fatal: usize,
-    pub fatal_every: Duration,
-    pub length: Duration,
+    /// Time between two tries of one fatal request.
+    pub fatal_interval: Duration,
+    pub duration: Duration,
     /// Whether routers keep a quarantine.
-    pub protected: bool,
-    /// Share of the innocent requests that are one and the same.
-    pub same: f64,
-    /// Whether back ends end by themselves too, each after this time in the mean.
-    pub lives_for: Option<Duration>,
+    pub has_quarantine: bool,
+    /// Share of the innocent tries that send the same request.
+    pub common_share: f64,
+    /// Mean time after which a back end crashes for reasons of its own; `None` if only fatal
+    /// requests crash back ends.
+    pub mean_uptime: Option<Duration>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    pub ends: usize,
-    /// For each fatal request: sends later than [`CONTACT`] after its third end.
-    pub late: Vec<usize>,
-    /// Tries of innocent requests, and those that were refused for good.
-    pub innocent: usize,
-    pub shut_out: usize,
-    /// Innocent requests that ended well.
+    pub crashes: usize,
+    /// For each fatal request: sends later than [`MAX_REACTION_TIME`] after the third crash.
+    pub late_sends: Vec<usize>,
+    pub innocent_tries: usize,
+    /// Tries of innocent requests that were refused because the request was set aside.
+    pub set_aside: usize,
+    /// Innocent requests that completed.
     pub served: usize,
-    /// Bytes that the busiest router sent in a second, in the mean.
+    /// Mean number of bytes per second that the busiest router sent.
     pub bytes_per_second: f64,
 }
 
@@ -82,10 +93,10 @@
     Arrive { to: usize, datagram: u64 },
     Innocent,
     Fatal(usize),
-    Try { request: u64, tries: u32 },
-    RunEnds { run: u64 },
-    Back(usize),
-    EndsByItself { back_end: usize, life: u64 },
+    Return { request: u64, returns_left: u32 },
+    RunEnd { run: u64 },
+    Restart(usize),
+    OwnCrash { back_end: usize, instance: u64 },
 }
 
 struct Router {
@@ -95,7 +106,7 @@
 }
 
 struct BackEnd {
-    life: u64,
+    instance: u64,
     up: bool,
     runs: Vec<u64>,
 }
@@ -105,30 +116,30 @@
     request: u64,
     router: usize,
     back_end: usize,
-    tries: u32,
+    returns_left: u32,
     sends: u32,
     on_probation: bool,
 }
 
 pub struct Simulation {
-    plan: Plan,
+    scenario: Scenario,
     queue: EventQueue<Event>,
     random: ChaCha8Rng,
     routers: Vec<Router>,
-    numbers: HashMap<SocketAddr, usize>,
+    router_numbers: HashMap<SocketAddr, usize>,
     datagrams: HashMap<u64, (PeerGossip, Vec<RecordGossip>)>,
-    sent: u64,
+    datagrams_sent: u64,
     back_ends: Vec<BackEnd>,
     runs: HashMap<u64, Run>,
     run_count: u64,
     request_count: u64,
-    fatal_ends: Vec<Vec<Time>>,
+    fatal_crashes: Vec<Vec<Time>>,
     fatal_sends: Vec<Vec<Time>>,
     outcome: Outcome,
 }
 
-/// The innocent request that many callers send.
-const SAME: u64 = 500;
+/// Innocent request that many callers send.
+const COMMON_REQUEST: u64 = 500;
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from((
@@ -151,10 +162,10 @@
     format!("b-{back_end}")
 }
 
-pub fn life_of(back_end: usize, life: u64) -> InstanceId {
+pub fn instance_id(back_end: usize, instance: u64) -> InstanceId {
     InstanceId::of(&BackEndEntry {
         id: id(back_end),
-        born: life + 1,
+        born: instance + 1,
         address: address(back_end),
         labels: HashMap::new().into_iter().collect(),
         slots: 8,
@@ -165,12 +176,12 @@
 }
 
 impl Simulation {
-    pub fn play(plan: Plan) -> Outcome {
+    pub fn run(scenario: Scenario) -> Outcome {
         let start = Time(1_000_000);
-        let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
+        let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
         let mut queue = EventQueue::new(start);
-        let seeds: Vec<SocketAddr> = (0..plan.routers.min(3)).map(address).collect();
-        let routers = (0..plan.routers)
+        let seeds: Vec<SocketAddr> = (0..scenario.routers.min(3)).map(address).collect();
+        let routers = (0..scenario.routers)
             .map(|number| {
                 queue.schedule(random_time(&mut random, 0.05), Event::Tick(number));
                 let zone = ZoneHash::of("zone");
@@ -189,24 +200,24 @@
                 }
             })
             .collect();
-        for fatal in 0..plan.fatal {
-            let after = WARM_UP + plan.fatal_every * fatal as u32 / plan.fatal as u32;
+        for fatal in 0..scenario.fatal {
+            let after = WARM_UP + scenario.fatal_interval * fatal as u32 / scenario.fatal as u32;
             queue.schedule(after, Event::Fatal(fatal));
         }
         queue.schedule(WARM_UP - Duration::from_secs(2), Event::Innocent);
         let mut simulation = Simulation {
-            plan,
+            scenario,
             queue,
             random,
             routers,
-            numbers: (0..plan.routers)
+            router_numbers: (0..scenario.routers)
                 .map(|number| (address(number), number))
                 .collect(),
             datagrams: HashMap::new(),
-            sent: 0,
-            back_ends: (0..plan.back_ends)
+            datagrams_sent: 0,
+            back_ends: (0..scenario.back_ends)
                 .map(|_| BackEnd {
-                    life: 0,
+                    instance: 0,
                     up: true,
                     runs: Vec::new(),
                 })
@@ -214,136 +225,148 @@
             runs: HashMap::new(),
             run_count: 0,
             request_count: 1000,
-            fatal_ends: vec![Vec::new(); plan.fatal],
-            fatal_sends: vec![Vec::new(); plan.fatal],
+            fatal_crashes: vec![Vec::new(); scenario.fatal],
+            fatal_sends: vec![Vec::new(); scenario.fatal],
             outcome: Outcome::default(),
         };
-        for back_end in 0..plan.back_ends {
-            simulation.schedule_own_end(back_end);
+        for back_end in 0..scenario.back_ends {
+            simulation.schedule_own_crash(back_end);
         }
-        let end = start + WARM_UP + plan.length;
+        let end = start + WARM_UP + scenario.duration;
         while let Some(event) = simulation.queue.next() {
             if simulation.queue.now > end {
                 break;
             }
-            simulation.take(event);
+            simulation.handle(event);
         }
         simulation.finish()
     }
 
     fn finish(mut self) -> Outcome {
-        for (ends, sends) in self.fatal_ends.iter().zip(&self.fatal_sends) {
-            let late = ends.get(2).map_or(0, |third| {
-                sends.iter().filter(|at| **at > *third + CONTACT).count()
+        for (crashes, sends) in self.fatal_crashes.iter().zip(&self.fatal_sends) {
+            let late = crashes.get(2).map_or(0, |third_crash| {
+                sends
+                    .iter()
+                    .filter(|at| **at > *third_crash + MAX_REACTION_TIME)
+                    .count()
             });
-            self.outcome.late.push(late);
+            self.outcome.late_sends.push(late);
         }
-        let seconds = (WARM_UP + self.plan.length).as_secs_f64();
+        let seconds = (WARM_UP + self.scenario.duration).as_secs_f64();
         let bytes = self.routers.iter().map(|router| router.bytes / seconds);
         self.outcome.bytes_per_second = bytes.fold(0.0, f64::max);
         self.outcome
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(number) => self.tick(number),
-            Event::Arrive { to, datagram } => self.arrive(to, datagram),
-            Event::Innocent => self.innocent(),
+            Event::Arrive { to, datagram } => self.receive(to, datagram),
+            Event::Innocent => self.send_innocent(),
             Event::Fatal(number) => {
                 self.queue
-                    .schedule(self.plan.fatal_every, Event::Fatal(number));
+                    .schedule(self.scenario.fatal_interval, Event::Fatal(number));
                 self.try_request(number as u64, u32::MAX);
             }
-            Event::Try { request, tries } => self.try_request(request, tries),
-            Event::RunEnds { run } => self.run_ends(run),
-            Event::Back(back_end) => {
+            Event::Return {
+                request,
+                returns_left,
+            } => self.try_request(request, returns_left),
+            Event::RunEnd { run } => self.on_run_end(run),
+            Event::Restart(back_end) => {
                 self.back_ends[back_end].up = true;
-                self.schedule_own_end(back_end);
+                self.schedule_own_crash(back_end);
             }
-            Event::EndsByItself { back_end, life } => {
-                if self.back_ends[back_end].life == life {
-                    self.end_back_end(back_end);
+            Event::OwnCrash { back_end, instance } => {
+                if self.back_ends[back_end].instance == instance {
+                    self.crash_back_end(back_end);
                 }
             }
         }
     }
 
-    fn schedule_own_end(&mut self, back_end: usize) {
-        if let Some(lives_for) = self.plan.lives_for {
-            let life = self.back_ends[back_end].life;
-            let after = random_time(&mut self.random, lives_for.as_secs_f64());
+    fn schedule_own_crash(&mut self, back_end: usize) {
+        if let Some(mean_uptime) = self.scenario.mean_uptime {
+            let instance = self.back_ends[back_end].instance;
+            let after = random_time(&mut self.random, mean_uptime.as_secs_f64());
             self.queue
-                .schedule(after, Event::EndsByItself { back_end, life });
+                .schedule(after, Event::OwnCrash { back_end, instance });
         }
     }
 
     fn tick(&mut self, number: usize) {
-        self.queue.schedule(INTERVAL, Event::Tick(number));
+        self.queue.schedule(GOSSIP_INTERVAL, Event::Tick(number));
         let now = self.queue.now;
         let router = &mut self.routers[number];
         let records = router.quarantine.gossip(now);
         for datagram in router.peers.tick(&OwnGossip::default(), now) {
-            let news = postcard::to_allocvec(&datagram.gossip).expect("news");
-            let more = postcard::to_allocvec(&records).expect("records");
-            let bytes = news.len() + more.len();
+            let gossip_bytes = postcard::to_allocvec(&datagram.gossip).expect("gossip");
+            let record_bytes = postcard::to_allocvec(&records).expect("records");
+            let bytes = gossip_bytes.len() + record_bytes.len();
             router.peers.on_sent(bytes);
             router.bytes += bytes as f64 + 28.0;
-            let to = self.numbers.get(&datagram.to).copied();
-            if let (Some(to), false) = (to, self.random.random_bool(LOSS)) {
-                self.sent += 1;
+            let to = self.router_numbers.get(&datagram.to).copied();
+            if let (Some(to), false) = (to, self.random.random_bool(DATAGRAM_LOSS)) {
+                self.datagrams_sent += 1;
                 self.datagrams
-                    .insert(self.sent, (datagram.gossip, records.clone()));
-                let datagram = self.sent;
-                self.queue.schedule(DELAY, Event::Arrive { to, datagram });
+                    .insert(self.datagrams_sent, (datagram.gossip, records.clone()));
+                let datagram = self.datagrams_sent;
+                self.queue
+                    .schedule(DATAGRAM_DELAY, Event::Arrive { to, datagram });
             }
         }
     }
 
-    fn arrive(&mut self, to: usize, datagram: u64) {
+    fn receive(&mut self, to: usize, datagram: u64) {
         let now = self.queue.now;
-        let Some((news, records)) = self.datagrams.remove(&datagram) else {
+        let Some((gossip, records)) = self.datagrams.remove(&datagram) else {
             return;
         };
         let router = &mut self.routers[to];
-        router.peers.receive(&news, now);
+        router.peers.receive(&gossip, now);
         router.quarantine.merge(&records, 0.5, now);
     }
 
-    fn innocent(&mut self) {
-        let rate = self.plan.rate * self.plan.back_ends as f64;
+    fn send_innocent(&mut self) {
+        let rate = self.scenario.rate * self.scenario.back_ends as f64;
         let next = random_time(&mut self.random, 1.0 / rate);
         self.queue.schedule(next, Event::Innocent);
-        let same = self.random.random_bool(self.plan.same);
+        let is_common = self.random.random_bool(self.scenario.common_share);
         self.request_count += 1;
-        let request = if same { SAME } else { self.request_count };
+        let request = if is_common {
+            COMMON_REQUEST
+        } else {
+            self.request_count
+        };
         self.try_request(request, 1);
     }
 
     fn is_fatal(&self, request: u64) -> bool {
-        (request as usize) < self.plan.fatal
+        (request as usize) < self.scenario.fatal
     }
 
-    fn try_request(&mut self, request: u64, tries: u32) {
+    fn try_request(&mut self, request: u64, returns_left: u32) {
         let router = self.random.random_range(0..self.routers.len());
         if !self.is_fatal(request) {
-            self.outcome.innocent += 1;
+            self.outcome.innocent_tries += 1;
         }
         let run = Run {
             request,
             router,
             back_end: 0,
-            tries,
+            returns_left,
             sends: 0,
             on_probation: false,
         };
         self.send(run);
     }
 
-    /// Sends a request as its router treats it.
+    /// Sends a request as the quarantine of its router treats it. If there is no back end for it, its
+    /// caller returns, unless the request is set aside.
     fn send(&mut self, run: Run) {
         let now = self.queue.now;
         let digest = digest(run.request);
-        let treatment = if self.plan.protected {
+        let treatment = if self.scenario.has_quarantine {
             self.routers[run.router].quarantine.treatment(digest, now)
         } else {
             Treatment::Usual
@@ -355,13 +378,13 @@
         let chosen = match treatment {
             Treatment::SetAside => None,
             Treatment::Probation => probation,
-            _ => probation.or_else(|| self.any_back_end()),
+            _ => probation.or_else(|| self.random_back_end()),
         };
         let Some(back_end) = chosen else {
             if treatment == Treatment::SetAside {
-                self.outcome.shut_out += usize::from(!self.is_fatal(run.request));
+                self.outcome.set_aside += usize::from(!self.is_fatal(run.request));
             } else {
-                self.come_back(run);
+                self.schedule_return(run);
             }
             return;
         };
@@ -387,12 +410,12 @@
             RUN_SECONDS
         };
         let after = random_time(&mut self.random, mean);
-        self.queue.schedule(after, Event::RunEnds { run: number });
+        self.queue.schedule(after, Event::RunEnd { run: number });
     }
 
-    fn any_back_end(&mut self) -> Option<usize> {
+    fn random_back_end(&mut self) -> Option<usize> {
         let up: Vec<usize> = (0..self.back_ends.len())
-            .filter(|place| self.back_ends[*place].up)
+            .filter(|index| self.back_ends[*index].up)
             .collect();
         (!up.is_empty()).then(|| up[self.random.random_range(0..up.len())])
     }
@@ -419,26 +442,26 @@
         select_for_probation(&candidates, digest, |_| true).map(|chosen| chosen.index)
     }
 
-    fn come_back(&mut self, run: Run) {
-        if run.tries > 0 && !self.is_fatal(run.request) {
-            let tries = run.tries - 1;
+    fn schedule_return(&mut self, run: Run) {
+        if run.returns_left > 0 && !self.is_fatal(run.request) {
+            let returns_left = run.returns_left - 1;
             self.queue.schedule(
-                COME_BACK,
-                Event::Try {
+                RETURN_DELAY,
+                Event::Return {
                     request: run.request,
-                    tries,
+                    returns_left,
                 },
             );
         }
     }
 
-    fn run_ends(&mut self, number: u64) {
+    fn on_run_end(&mut self, number: u64) {
         let Some(run) = self.runs.get(&number).copied() else {
             return;
         };
         if self.is_fatal(run.request) {
-            self.fatal_ends[run.request as usize].push(self.queue.now);
-            self.end_back_end(run.back_end);
+            self.fatal_crashes[run.request as usize].push(self.queue.now);
+            self.crash_back_end(run.back_end);
             return;
         }
         self.runs.remove(&number);
@@ -452,31 +475,31 @@
             .on_successful_run(digest(run.request), now);
     }
 
-    fn end_back_end(&mut self, place: usize) {
+    fn crash_back_end(&mut self, index: usize) {
         let now = self.queue.now;
-        self.outcome.ends += 1;
-        let back_end = &mut self.back_ends[place];
-        let life = life_of(place, back_end.life);
-        back_end.life += 1;
+        self.outcome.crashes += 1;
+        let back_end = &mut self.back_ends[index];
+        let instance = instance_id(index, back_end.instance);
+        back_end.instance += 1;
         back_end.up = false;
-        let broken = std::mem::take(&mut back_end.runs);
-        self.queue.schedule(DOWN, Event::Back(place));
-        let broken: Vec<Run> = broken
+        let interrupted = std::mem::take(&mut back_end.runs);
+        self.queue.schedule(DOWNTIME, Event::Restart(index));
+        let interrupted: Vec<Run> = interrupted
             .iter()
             .filter_map(|number| self.runs.remove(number))
             .collect();
-        for run in &broken {
+        for run in &interrupted {
             let quarantine = &mut self.routers[run.router].quarantine;
-            quarantine.on_crash(digest(run.request), life, run.on_probation, now);
+            quarantine.on_crash(digest(run.request), instance, run.on_probation, now);
         }
-        for run in broken {
+        for run in interrupted {
             let quarantine = &mut self.routers[run.router].quarantine;
             let treatment = quarantine.treatment(digest(run.request), now);
-            let may_repeat = !self.plan.protected || treatment < Treatment::Probation;
-            if run.sends < 2 && may_repeat {
+            let may_retry = !self.scenario.has_quarantine || treatment < Treatment::Probation;
+            if run.sends < 2 && may_retry {
                 self.send(run);
             } else {
-                self.come_back(run);
+                self.schedule_return(run);
             }
         }
     }
--- a/crates/stacktack-core/tests/rollout/scenario.rs
+++ b/crates/stacktack-core/tests/rollout/scenario.rs
@@ -1,64 +1,68 @@
-//! What is played, and what came of it.
+//! Scenarios of a simulated roll-out, and their outcome.
 
 use std::time::Duration;
 
 use stacktack_core::direct::rollout::status::StoredState;
 
-/// What is wrong with the new version.
+/// Fault of the new version.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Share of its answers that are bad.
-    pub share: f64,
-    /// How many times as long bad answers take; 0 for failed ones.
-    pub slower: f64,
-    /// From when on, after the order.
-    pub from: Duration,
-    /// On which route; `None` for all.
+    /// Share of its responses that are bad.
+    pub bad_share: f64,
+    /// Factor by which bad responses take longer; 0 if they fail.
+    pub slowdown: f64,
+    /// Time from the order to the start of the fault.
+    pub starts_after: Duration,
+    /// Route that the fault affects; `None` for all.
     pub route: Option<usize>,
 }
 
-/// What is wrong with routers and store.
+/// Faults of routers and store, and of both versions together.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
-    /// Share of the writes whose answers are lost; half of them are done late.
-    pub lost_answers: f64,
-    /// Share of the writers that are killed right after a write, and start anew.
+pub struct Disturbances {
+    /// Share of the store writes whose responses are lost; half of these writes are applied late.
+    pub lost_responses: f64,
+    /// Probability that a router is killed right after it sent a write; it restarts.
     pub killed_writers: f64,
-    /// Routers that are cut off from peers and store from the order on, for this long.
-    pub cut_off: usize,
-    pub cut_for: Duration,
-    /// Share of the answers of both versions that fail from half of the order's time on.
-    pub failing_all: f64,
+    /// Number of routers that are partitioned from peers and store from the order on.
+    pub partitioned_routers: usize,
+    /// Duration of the partition.
+    pub partition_time: Duration,
+    /// Share of the responses of both versions that fail once half of the order's time has passed.
+    pub common_failure_share: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     pub routers: usize,
-    /// Requests a second at all routers together.
+    /// Requests per second, all routers together.
     pub rate: f64,
     pub duration: Duration,
     pub fault: Option<Fault>,
-    pub trouble: Trouble,
+    pub disturbances: Disturbances,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Requests to the service between order and deadline, and those to the new version; from
-    /// routers in touch.
+    /// Requests to the service between order and deadline, without those of partitioned routers.
     pub requests: u64,
+    /// Requests to the new version among these.
     pub exposed: u64,
-    /// Bad answers of the new version, and requests sent later than the bound after the 50th.
-    pub bad: u64,
-    pub late: u64,
-    /// Outcomes that the store took, in order.
+    /// Bad responses of the new version.
+    pub bad_responses: u64,
+    /// Requests to the new version, counted as in `requests`, that were sent more than
+    /// `MAX_ROLLBACK_TIME` after its 50th bad response.
+    pub late_requests: u64,
+    /// Outcomes that the store accepted, in order.
     pub stored: Vec<StoredState>,
-    /// When the last one was, after the order.
+    /// Time from the order to the last of these outcomes.
     pub decided_after: Option<Duration>,
-    /// Writing calls to the store.
+    /// Write calls to the store.
     pub writes: usize,
-    /// Most requests to the new version at one router in excess of its own share.
+    /// Maximum number of requests to the new version by which one router exceeded its own share,
+    /// before the version was proved good.
     pub own_excess: f64,
-    /// Bytes that the busiest router sent in a second during the order, in the mean.
+    /// Mean number of bytes per second that the busiest router sent from the order on.
     pub bytes_per_second: f64,
 }
--- a/crates/stacktack-core/tests/rollout/simulation.rs
+++ b/crates/stacktack-core/tests/rollout/simulation.rs
@@ -1,8 +1,8 @@
-//! Routers, back ends of two versions and a store, on virtual time.
+//! Simulation, on virtual time, of routers, back ends of two versions and a store.
 //!
-//! Callers ask for the routes of one service. Routers tell each other within the budget of
-//! bytes; 3 in 100 datagrams are lost. An answer of the store may be lost, and its write may
-//! be done seconds later.
+//! Callers send requests to the routes of one service. Routers gossip within their byte budget;
+//! 3 in 100 datagrams are lost. A response of the store may be lost, and the write may be applied
+//! up to three seconds later.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 use crate::event_queue::{random_time, EventQueue};
 use crate::gossip::{address, peers, Network, DELAY, INTERVAL, OTHER_BYTES};
-use crate::scenario::{Fault, Outcome, Plan};
+use crate::scenario::{Fault, Outcome, Scenario};
 use crate::store::Store;
 
 pub const SERVICE: &str = "service";
@@ -32,50 +32,54 @@
     slack: 50.0,
 };
 
-/// Time for which routers get to know each other before the order.
+/// Time for which routers discover each other before the order.
 const WARM_UP: Duration = Duration::from_secs(8);
-const STORE_ANSWER: Duration = Duration::from_millis(4);
-const PATIENCE: Duration = Duration::from_millis(500);
 
-/// Most bytes of one datagram that roll-outs get.
-const ROLLOUT_BYTES: usize = 300;
+/// Time from a write call to the response of the store.
+const STORE_LATENCY: Duration = Duration::from_millis(4);
 
-const WANTED: LatencyTarget = LatencyTarget {
+/// Time after which a router gives up a write call without a response.
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Maximum number of bytes of roll-out gossip in one datagram.
+const MAX_ROLLOUT_BYTES: usize = 300;
+
+const LATENCY_TARGET: LatencyTarget = LatencyTarget {
     objective: Duration::from_millis(120),
     needs_prefill: false,
 };
 
-/// Time after the 50th bad answer from which no request may go to the new version.
-const ROLLBACK: Duration = Duration::from_secs(5);
+/// Time after the 50th bad response from which requests to the new version count as late.
+const MAX_ROLLBACK_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request,
-    Answer {
+    Response {
         router: usize,
-        life: u32,
+        instance: u32,
         is_new: bool,
         route: usize,
-        took: Option<Duration>,
-        retry: bool,
+        latency: Option<Duration>,
+        is_retry: bool,
     },
     Tick(usize),
     Datagram(usize, u64),
-    Order(usize),
-    Begin,
-    Apply(usize),
-    Written(usize),
-    Heal,
-    Start(usize),
+    ReadOrder(usize),
+    GiveOrder,
+    ApplyWrite(usize),
+    WriteCallEnd(usize),
+    EndPartition,
+    Restart(usize),
 }
 
 struct Router {
     peers: Peers,
     rollouts: Rollouts,
-    life: u32,
+    instance: u32,
     is_up: bool,
-    cut_off: bool,
-    writing: bool,
+    is_partitioned: bool,
+    is_writing: bool,
     bytes: usize,
     weight: f64,
     requests: u64,
@@ -84,143 +88,147 @@
 
 struct Write {
     router: usize,
-    life: u32,
+    instance: u32,
     write: StatusWrite,
-    is_told: bool,
-    end: Option<StatusWriteResult>,
+    gets_response: bool,
+    result: Option<StatusWriteResult>,
 }
 
 pub struct Simulation {
-    plan: Plan,
-    draw: ChaCha8Rng,
+    scenario: Scenario,
+    random: ChaCha8Rng,
     queue: EventQueue<Event>,
     network: Network<Vec<RolloutGossip>>,
     routers: Vec<Router>,
     store: Store,
     writes: Vec<Write>,
-    fiftieth: Option<Time>,
+    fiftieth_bad_at: Option<Time>,
     outcome: Outcome,
 }
 
-fn rollouts(draw: &mut ChaCha8Rng) -> Rollouts {
-    Rollouts::new(draw.random(), Some(BOUND)).expect("the chart is complete")
+fn rollouts(random: &mut ChaCha8Rng) -> Rollouts {
+    Rollouts::new(random.random(), Some(BOUND)).expect("the chart is complete")
 }
 
 impl Simulation {
-    pub fn new(plan: Plan) -> Self {
-        let mut draw = ChaCha8Rng::seed_from_u64(plan.seed);
+    pub fn new(scenario: Scenario) -> Self {
+        let mut random = ChaCha8Rng::seed_from_u64(scenario.seed);
         let mut queue = EventQueue::new(Time(10_000_000));
-        let routers: Vec<Router> = (0..plan.routers)
+        let routers: Vec<Router> = (0..scenario.routers)
             .map(|number| {
-                let spread = Duration::from_micros(draw.random_range(0..100_000));
+                let spread = Duration::from_micros(random.random_range(0..100_000));
                 queue.schedule(spread, Event::Tick(number));
                 Router {
-                    peers: peers(number, plan.routers, &mut draw, queue.now),
-                    rollouts: rollouts(&mut draw),
-                    life: 0,
+                    peers: peers(number, scenario.routers, &mut random, queue.now),
+                    rollouts: rollouts(&mut random),
+                    instance: 0,
                     is_up: true,
-                    cut_off: false,
-                    writing: false,
+                    is_partitioned: false,
+                    is_writing: false,
                     bytes: 0,
-                    weight: draw.random_range(0.3..1.7),
+                    weight: random.random_range(0.3..1.7),
                     requests: 0,
                     exposed: 0,
                 }
             })
             .collect();
-        queue.schedule(WARM_UP, Event::Begin);
+        queue.schedule(WARM_UP, Event::GiveOrder);
         Simulation {
-            plan,
-            draw,
+            scenario,
+            random,
             queue,
-            network: Network::new(plan.routers),
+            network: Network::new(scenario.routers),
             routers,
             store: Store::new(),
             writes: Vec::new(),
-            fiftieth: None,
+            fiftieth_bad_at: None,
             outcome: Outcome::default(),
         }
     }
 
-    /// Plays until the store had time for the outcome; returns what happened.
-    pub fn play(mut self) -> Outcome {
-        let end = self.queue.now + WARM_UP + self.plan.duration.mul_f64(1.5);
+    /// Runs for 1.5 times the duration of the order, so that the outcome can be stored.
+    pub fn run(mut self) -> Outcome {
+        let end = self.queue.now + WARM_UP + self.scenario.duration.mul_f64(1.5);
         while self.queue.now < end {
             let Some(event) = self.queue.next() else {
                 break;
             };
-            self.take(event);
+            self.handle(event);
         }
-        let seconds = self.plan.duration.mul_f64(1.5).as_secs_f64();
-        let most = self.routers.iter().map(|router| router.bytes).max();
-        self.outcome.bytes_per_second = most.unwrap_or(0) as f64 / seconds;
+        let seconds = self.scenario.duration.mul_f64(1.5).as_secs_f64();
+        let max_bytes = self.routers.iter().map(|router| router.bytes).max();
+        self.outcome.bytes_per_second = max_bytes.unwrap_or(0) as f64 / seconds;
         self.outcome.stored = self.store.outcomes;
         self.outcome.decided_after = self.store.decided_after;
         self.outcome
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Begin => self.begin(),
-            Event::Order(router) => self.hear_order(router),
+            Event::GiveOrder => self.give_order(),
+            Event::ReadOrder(router) => self.read_order(router),
             Event::Tick(router) => self.tick(router),
-            Event::Datagram(router, datagram) => self.datagram(router, datagram),
-            Event::Request => self.request(),
-            Event::Answer {
+            Event::Datagram(router, datagram) => self.receive(router, datagram),
+            Event::Request => self.send_first_try(),
+            Event::Response {
                 router,
-                life,
+                instance,
                 is_new,
                 route,
-                took,
-                retry,
+                latency,
+                is_retry,
             } => {
-                if self.routers[router].life == life {
-                    self.answer(router, is_new, route, took);
-                    if took.is_none() && !retry {
+                if self.routers[router].instance == instance {
+                    self.on_response(router, is_new, route, latency);
+                    if latency.is_none() && !is_retry {
                         self.send(router, route, true);
                     }
                 }
             }
-            Event::Apply(write) => self.apply(write),
-            Event::Written(write) => self.written(write),
-            Event::Heal => {
+            Event::ApplyWrite(write) => self.apply_write(write),
+            Event::WriteCallEnd(write) => self.on_write_call_end(write),
+            Event::EndPartition => {
                 for router in 0..self.routers.len() {
-                    if std::mem::take(&mut self.routers[router].cut_off) {
-                        self.hear_order(router);
+                    if std::mem::take(&mut self.routers[router].is_partitioned) {
+                        self.read_order(router);
                     }
                 }
             }
-            Event::Start(router) => {
+            Event::Restart(router) => {
                 self.routers[router].is_up = true;
-                self.hear_order(router);
+                self.read_order(router);
             }
         }
     }
 
-    fn begin(&mut self) {
+    fn give_order(&mut self) {
         let now = self.queue.now;
-        self.store.give_order(SERVICE, NEW, self.plan.duration, now);
+        self.store
+            .give_order(SERVICE, NEW, self.scenario.duration, now);
         for router in &mut self.routers {
             router.bytes = 0;
         }
-        for router in 0..self.plan.trouble.cut_off {
-            self.routers[router].cut_off = true;
+        for router in 0..self.scenario.disturbances.partitioned_routers {
+            self.routers[router].is_partitioned = true;
         }
-        self.queue.schedule(self.plan.trouble.cut_for, Event::Heal);
+        self.queue.schedule(
+            self.scenario.disturbances.partition_time,
+            Event::EndPartition,
+        );
         for router in 0..self.routers.len() {
-            // A few watch the store; the others hear of it from them.
+            // Every third router reads the order from the store; the others get it by gossip.
             if router % 3 == 0 {
-                let after = Duration::from_micros(self.draw.random_range(4_000..200_000));
-                self.queue.schedule(after, Event::Order(router));
+                let after = Duration::from_micros(self.random.random_range(4_000..200_000));
+                self.queue.schedule(after, Event::ReadOrder(router));
             }
         }
         self.queue.schedule(Duration::ZERO, Event::Request);
     }
 
-    fn hear_order(&mut self, router: usize) {
+    fn read_order(&mut self, router: usize) {
         let now = self.queue.now;
         if let Some(order) = self.store.order() {
-            if !self.routers[router].cut_off {
+            if !self.routers[router].is_partitioned {
                 self.routers[router].rollouts.apply_order(order, now);
             }
         }
@@ -230,88 +238,97 @@
         self.store.since_order(self.queue.now)
     }
 
-    fn request(&mut self) {
-        let pause = random_time(&mut self.draw, 1.0 / self.plan.rate);
+    fn send_first_try(&mut self) {
+        let pause = random_time(&mut self.random, 1.0 / self.scenario.rate);
         self.queue.schedule(pause, Event::Request);
         let sum: f64 = self.routers.iter().map(|router| router.weight).sum();
-        let mut left = self.draw.random::<f64>() * sum;
+        let mut left = self.random.random::<f64>() * sum;
         let chosen = self.routers.iter().position(|router| {
             left -= router.weight;
             left < 0.0
         });
         let router = chosen.unwrap_or(0);
-        let route = self.draw.random_range(0..ROUTES.len());
+        let route = self.random.random_range(0..ROUTES.len());
         if self.routers[router].is_up {
             self.send(router, route, false);
         }
     }
 
-    fn send(&mut self, router: usize, route: usize, retry: bool) {
-        let is_over = self.since_order() > self.plan.duration;
+    fn send(&mut self, router: usize, route: usize, is_retry: bool) {
+        let is_over = self.since_order() > self.scenario.duration;
         let fault = self.fault_on(route);
         let now = self.queue.now;
         let sender = &mut self.routers[router];
-        let side = sender.rollouts.select_version(SERVICE, !retry, now);
-        let is_new =
-            side == VersionSelection::New && sender.rollouts.may_receive_requests(SERVICE, NEW);
+        let selection = sender.rollouts.select_version(SERVICE, !is_retry, now);
+        let is_new = selection == VersionSelection::New
+            && sender.rollouts.may_receive_requests(SERVICE, NEW);
         let version = if is_new { NEW } else { OLD };
         sender.rollouts.on_send(SERVICE, version);
-        let is_open = !sender
+        let is_undecided = !sender
             .rollouts
             .state(SERVICE)
             .is_some_and(RolloutState::is_decided);
-        if !is_over && !sender.cut_off {
+        if !is_over && !sender.is_partitioned {
             self.outcome.requests += 1;
             self.outcome.exposed += u64::from(is_new);
-            let late = |fiftieth| now.since(fiftieth) > ROLLBACK;
-            let is_late = is_new && self.fiftieth.is_some_and(late);
-            self.outcome.late += u64::from(is_late);
+            let late = |fiftieth_bad_at| now.since(fiftieth_bad_at) > MAX_ROLLBACK_TIME;
+            let is_late = is_new && self.fiftieth_bad_at.is_some_and(late);
+            self.outcome.late_requests += u64::from(is_late);
         }
         sender.requests += 1;
         sender.exposed += u64::from(is_new);
-        if is_open && sender.rollouts.state(SERVICE) <= Some(RolloutState::Trial) {
+        if is_undecided && sender.rollouts.state(SERVICE) <= Some(RolloutState::Trial) {
             let excess = sender.exposed as f64 - BOUND.share * sender.requests as f64;
             self.outcome.own_excess = self.outcome.own_excess.max(excess);
         }
-        let life = sender.life;
-        let usual = Duration::from_millis(10) + random_time(&mut self.draw, 0.005);
-        let failing = match self.since_order() > self.plan.duration / 2 {
-            true => self.plan.trouble.failing_all.max(0.005),
+        let instance = sender.instance;
+        let usual_latency = Duration::from_millis(10) + random_time(&mut self.random, 0.005);
+        let failure_share = match self.since_order() > self.scenario.duration / 2 {
+            true => self.scenario.disturbances.common_failure_share.max(0.005),
             false => 0.005,
         };
-        let mut took = (self.draw.random::<f64>() >= failing).then_some(usual);
-        let fault = fault.filter(|fault| is_new && self.draw.random::<f64>() < fault.share);
+        let mut latency = (self.random.random::<f64>() >= failure_share).then_some(usual_latency);
+        let fault = fault.filter(|fault| is_new && self.random.random::<f64>() < fault.bad_share);
         if let Some(fault) = fault {
-            took = took.filter(|_| fault.slower > 0.0);
-            took = took.map(|took| took.mul_f64(fault.slower));
-            self.outcome.bad += 1;
-            if self.outcome.bad == 50 {
-                self.fiftieth = Some(self.queue.now + took.unwrap_or(usual));
+            latency = latency.filter(|_| fault.slowdown > 0.0);
+            latency = latency.map(|latency| latency.mul_f64(fault.slowdown));
+            self.outcome.bad_responses += 1;
+            if self.outcome.bad_responses == 50 {
+                self.fiftieth_bad_at = Some(self.queue.now + latency.unwrap_or(usual_latency));
             }
         }
         self.queue.schedule(
-            took.unwrap_or(usual),
-            Event::Answer {
+            latency.unwrap_or(usual_latency),
+            Event::Response {
                 router,
-                life,
+                instance,
                 is_new,
                 route,
-                took,
-                retry,
+                latency,
+                is_retry,
             },
         );
     }
 
     fn fault_on(&self, route: usize) -> Option<Fault> {
         let since = self.since_order();
-        let fault = self.plan.fault.filter(|fault| since >= fault.from);
-        fault.filter(|fault| fault.route.is_none_or(|bad| bad == route))
+        let fault = self
+            .scenario
+            .fault
+            .filter(|fault| since >= fault.starts_after);
+        fault.filter(|fault| fault.route.is_none_or(|affected| affected == route))
     }
 
-    fn answer(&mut self, router: usize, is_new: bool, route: usize, took: Option<Duration>) {
+    fn on_response(
+        &mut self,
+        router: usize,
+        is_new: bool,
+        route: usize,
+        latency: Option<Duration>,
+    ) {
         let version = if is_new { NEW } else { OLD };
         let rollouts = &mut self.routers[router].rollouts;
-        rollouts.on_response(SERVICE, version, ROUTES[route], took, WANTED);
+        rollouts.on_response(SERVICE, version, ROUTES[route], latency, LATENCY_TARGET);
     }
 
     fn tick(&mut self, number: usize) {
@@ -325,145 +342,154 @@
         router.rollouts.configure(Some(BOUND), rank);
         let changes = router.rollouts.tick(now);
         let outgoing = router.peers.tick(&OwnGossip::default(), now);
-        self.tell(number, &outgoing);
-        self.after(number, &changes);
-        self.write(number);
+        self.send_gossip(number, &outgoing);
+        self.push_urgent(number, &changes);
+        self.send_due_write(number);
     }
 
-    fn tell(&mut self, number: usize, outgoing: &[OutgoingDatagram]) {
+    fn send_gossip(&mut self, number: usize, outgoing: &[OutgoingDatagram]) {
         let now = self.queue.now;
         for datagram in outgoing {
             let sender = &mut self.routers[number];
-            let told = fitting(sender.rollouts.gossip(now));
-            let bytes = if told.is_empty() { 0 } else { size(&told) };
-            let whole = size(&datagram.gossip) + OTHER_BYTES + bytes + 28;
-            sender.bytes += whole;
+            let gossip = truncate_to_datagram(sender.rollouts.gossip(now));
+            let bytes = if gossip.is_empty() { 0 } else { size(&gossip) };
+            let datagram_bytes = size(&datagram.gossip) + OTHER_BYTES + bytes + 28;
+            sender.bytes += datagram_bytes;
             let sent = self.network.send_with(
                 &mut sender.peers,
                 datagram,
-                told,
+                gossip,
                 OTHER_BYTES + bytes,
-                &mut self.draw,
+                &mut self.random,
             );
-            if let Some((to, id)) = sent.filter(|_| !self.routers[number].cut_off) {
+            if let Some((to, id)) = sent.filter(|_| !self.routers[number].is_partitioned) {
                 self.queue.schedule(DELAY, Event::Datagram(to, id));
             }
         }
     }
 
-    fn datagram(&mut self, number: usize, id: u64) {
-        let (news, told) = self.network.arrive(id);
+    fn receive(&mut self, number: usize, id: u64) {
+        let (peer_gossip, rollout_gossip) = self.network.arrive(id);
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        if router.cut_off || !router.is_up {
+        if router.is_partitioned || !router.is_up {
             return;
         }
-        router.peers.receive(&news, now);
-        let (_, changes) = router.rollouts.merge(&told, now);
-        self.after(number, &changes);
+        router.peers.receive(&peer_gossip, now);
+        let (_, changes) = router.rollouts.merge(&rollout_gossip, now);
+        self.push_urgent(number, &changes);
     }
 
-    /// What is urgent goes to a few at once.
-    fn after(&mut self, number: usize, changes: &[RolloutChange]) {
+    /// Pushes gossip to a few peers at once if a change is urgent.
+    fn push_urgent(&mut self, number: usize, changes: &[RolloutChange]) {
         if changes.iter().any(|change| change.is_urgent) {
             let router = &mut self.routers[number];
             let outgoing = router
                 .peers
-                .push(&OwnGossip::default(), true, &mut self.draw);
-            self.tell(number, &outgoing);
+                .push(&OwnGossip::default(), true, &mut self.random);
+            self.send_gossip(number, &outgoing);
         }
     }
 
-    fn write(&mut self, number: usize) {
+    fn send_due_write(&mut self, number: usize) {
         let now = self.queue.now;
         let router = &mut self.routers[number];
         let due = router.rollouts.due_writes(now);
-        let Some(write) = due.into_iter().next().filter(|_| !router.writing) else {
+        let Some(write) = due.into_iter().next().filter(|_| !router.is_writing) else {
             return;
         };
-        router.writing = true;
+        router.is_writing = true;
         self.outcome.writes += 1;
-        let trouble = self.plan.trouble;
-        let is_cut = router.cut_off;
-        let is_lost = self.draw.random::<f64>() < trouble.lost_answers;
-        let is_late = is_lost && self.draw.random::<bool>();
+        let disturbances = self.scenario.disturbances;
+        let is_partitioned = router.is_partitioned;
+        let is_lost = self.random.random::<f64>() < disturbances.lost_responses;
+        let is_late = is_lost && self.random.random::<bool>();
         self.writes.push(Write {
             router: number,
-            life: router.life,
+            instance: router.instance,
             write,
-            is_told: !is_lost && !is_cut,
-            end: None,
+            gets_response: !is_lost && !is_partitioned,
+            result: None,
         });
         let id = self.writes.len() - 1;
-        if !is_cut {
-            let late = Duration::from_millis(self.draw.random_range(500..3000));
-            let after = if is_late { late } else { STORE_ANSWER / 2 };
-            self.queue.schedule(after, Event::Apply(id));
+        if !is_partitioned {
+            let late_delay = Duration::from_millis(self.random.random_range(500..3000));
+            let after = if is_late {
+                late_delay
+            } else {
+                STORE_LATENCY / 2
+            };
+            self.queue.schedule(after, Event::ApplyWrite(id));
         }
-        let answer = if is_lost || is_cut {
-            PATIENCE
+        let call_time = if is_lost || is_partitioned {
+            STORE_TIMEOUT
         } else {
-            STORE_ANSWER
+            STORE_LATENCY
         };
-        self.queue.schedule(answer, Event::Written(id));
-        if self.draw.random::<f64>() < trouble.killed_writers {
+        self.queue.schedule(call_time, Event::WriteCallEnd(id));
+        if self.random.random::<f64>() < disturbances.killed_writers {
             self.kill(number);
         }
     }
 
     fn kill(&mut self, number: usize) {
-        let incarnation = rollouts(&mut self.draw);
-        let peers = peers(number, self.plan.routers, &mut self.draw, self.queue.now);
+        let new_rollouts = rollouts(&mut self.random);
+        let peers = peers(
+            number,
+            self.scenario.routers,
+            &mut self.random,
+            self.queue.now,
+        );
         let router = &mut self.routers[number];
-        router.life += 1;
+        router.instance += 1;
         router.is_up = false;
-        router.writing = false;
-        router.rollouts = incarnation;
+        router.is_writing = false;
+        router.rollouts = new_rollouts;
         router.peers = peers;
         router.requests = 0;
         router.exposed = 0;
         self.queue
-            .schedule(Duration::from_millis(700), Event::Start(number));
+            .schedule(Duration::from_millis(700), Event::Restart(number));
     }
 
-    fn apply(&mut self, id: usize) {
+    fn apply_write(&mut self, id: usize) {
         let write = &mut self.writes[id];
-        write.end = Some(self.store.apply(&write.write, self.queue.now));
+        write.result = Some(self.store.apply(&write.write, self.queue.now));
     }
 
-    fn written(&mut self, id: usize) {
+    fn on_write_call_end(&mut self, id: usize) {
         let Write {
             router,
-            life,
+            instance,
             write,
-            is_told,
-            end,
+            gets_response,
+            result,
         } = &self.writes[id];
         let number = *router;
-        if self.routers[number].life != *life {
+        if self.routers[number].instance != *instance {
             return;
         }
-        self.routers[number].writing = false;
+        self.routers[number].is_writing = false;
         let now = self.queue.now;
-        if let Some(end) = end.as_ref().filter(|_| *is_told) {
+        if let Some(result) = result.as_ref().filter(|_| *gets_response) {
             let rollouts = &mut self.routers[number].rollouts;
-            let changes = rollouts.on_write_result(write, end, now);
-            self.after(number, &changes);
+            let changes = rollouts.on_write_result(write, result, now);
+            self.push_urgent(number, &changes);
         }
     }
 }
 
-fn size<T: serde::Serialize>(news: &T) -> usize {
-    postcard::to_allocvec(news).expect("serializes").len()
+fn size<T: serde::Serialize>(value: &T) -> usize {
+    postcard::to_allocvec(value).expect("serializes").len()
 }
 
-/// As much as a datagram has room for.
-fn fitting(mut told: Vec<RolloutGossip>) -> Vec<RolloutGossip> {
-    while size(&told) > ROLLOUT_BYTES {
-        let longest = told.iter_mut().max_by_key(|news| news.counts.len());
-        if longest.is_none_or(|news| news.counts.pop().is_none()) {
+/// Drops counts until the roll-out gossip fits into a datagram.
+fn truncate_to_datagram(mut gossip: Vec<RolloutGossip>) -> Vec<RolloutGossip> {
+    while size(&gossip) > MAX_ROLLOUT_BYTES {
+        let longest = gossip.iter_mut().max_by_key(|rollout| rollout.counts.len());
+        if longest.is_none_or(|rollout| rollout.counts.pop().is_none()) {
             break;
         }
     }
-    told
+    gossip
 }
--- a/crates/stacktack-core/tests/rollout/store.rs
+++ b/crates/stacktack-core/tests/rollout/store.rs
@@ -1,5 +1,5 @@
-//! The store on virtual time: it holds one order and the status of its roll-out, and takes a
-//! write if its condition holds.
+//! Simulated store. It holds one order and the status of its roll-out, and applies a write if the
+//! condition of the write holds.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 };
 use stacktack_core::time::Time;
 
-/// What the store holds.
+/// Contents of the store, and the outcomes that were written to it.
 pub struct Store {
     order: Option<(RolloutOrder, Time)>,
     revision: u64,
     status: Option<StoredStatus>,
-    /// Outcomes that were taken, in order.
+    /// Outcomes that were stored, in order.
     pub outcomes: Vec<StoredState>,
-    /// When the last one was, after the order.
+    /// Time from the order to the last of these outcomes.
     pub decided_after: Option<Duration>,
 }
 
 impl Store {
-    /// Nothing is ordered.
+    /// Creates a store without an order.
     pub fn new() -> Self {
         Store {
             order: None,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The operator gives an order.
+    /// Stores an order of the operator.
     pub fn give_order(&mut self, service: &str, version: &str, duration: Duration, now: Time) {
         self.revision += 1;
         let seconds = duration.as_secs_f64();
@@ -40,22 +40,22 @@
         self.order = Some((order.expect("an order"), now));
     }
 
-    /// The order, if one is given.
+    /// The order, if there is one.
     pub fn order(&self) -> Option<&RolloutOrder> {
         self.order.as_ref().map(|(order, _)| order)
     }
 
-    /// Time since the order; zero before.
+    /// Time since the order; zero without one.
     pub fn since_order(&self, now: Time) -> Duration {
-        let begun = self.order.as_ref().map(|(_, begun)| *begun);
-        now.since(begun.unwrap_or(now))
+        let ordered_at = self.order.as_ref().map(|(_, at)| *at);
+        now.since(ordered_at.unwrap_or(now))
     }
 
-    /// Takes a write if its condition holds.
+    /// Applies a write if its condition holds.
     pub fn apply(&mut self, write: &StatusWrite, now: Time) -> StatusWriteResult {
         let order_revision = self.order().map_or(0, |order| order.revision);
-        let known = self.status.as_ref().map_or(0, |status| status.revision);
-        if write.order_revision != order_revision || write.status_revision != known {
+        let status_revision = self.status.as_ref().map_or(0, |status| status.revision);
+        if write.order_revision != order_revision || write.status_revision != status_revision {
             return StatusWriteResult::Conflict {
                 order_revision,
                 status: self.status.clone(),
--- a/crates/stacktack-core/tests/slow_start.rs
+++ b/crates/stacktack-core/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! What a fleet sends a back end that is cold: never more than it bears, whatever the
-//! routers believe of each other, and still a part of its work.
+//! Requests that a fleet sends to a cold back end: never more than the back end handles, whatever
+//! the routers know of each other, and still a part of its usual load.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,17 +13,18 @@
 use stacktack_core::direct::back_ends::BackEnds;
 use stacktack_core::time::Time;
 
-const BEARS: f64 = 23.0;
+/// Requests per second that a cold back end handles.
+const COLD_REQUESTS_PER_SECOND: f64 = 23.0;
 
-/// Requests in any one second at which a cold back end fails: 1.5 times what it bears,
-/// and 5.
-const MOST_IN_A_SECOND: usize = 39;
+/// Maximum number of requests that a cold back end may get in any one second. It fails at 1.5 times
+/// what it handles, plus 5.
+const MAX_REQUESTS_IN_ONE_SECOND: usize = 39;
 
 fn slow_start() -> SlowStart {
     SlowStart {
         back_ends: Vec::new(),
         duration: Duration::from_secs(3),
-        requests_per_second: BEARS,
+        requests_per_second: COLD_REQUESTS_PER_SECOND,
     }
 }
 
@@ -34,60 +35,66 @@
     ))
 }
 
-/// Most requests in any second, and all of them, that one cold back end gets in 3 s when
-/// each router has `rate` a second for it. `knows` says which others a router knows.
-fn play(routers: usize, rate: f64, knows: impl Fn(usize) -> Vec<SocketAddr>) -> (usize, usize) {
-    play_with(routers, rate, knows, |_| true)
+/// Simulates 3 s in which each router has `rate` requests per second for one cold back end. Returns
+/// the maximum number of requests that the back end gets in any one second, and their total number.
+/// `known_peers` returns the peers that a router knows.
+fn simulate(
+    routers: usize,
+    rate: f64,
+    known_peers: impl Fn(usize) -> Vec<SocketAddr>,
+) -> (usize, usize) {
+    simulate_with(routers, rate, known_peers, |_| true)
 }
 
-/// The same; `is_complete` says whether a router takes those that it knows for all.
-fn play_with(
+/// The same; `is_complete` returns whether a router takes the peers that it knows for the
+/// whole fleet.
+fn simulate_with(
     routers: usize,
     rate: f64,
-    knows: impl Fn(usize) -> Vec<SocketAddr>,
+    known_peers: impl Fn(usize) -> Vec<SocketAddr>,
     is_complete: impl Fn(usize) -> bool,
 ) -> (usize, usize) {
     let mut random = ChaCha8Rng::seed_from_u64(routers as u64);
     let start = Time(1_000_000);
     let until = start + Duration::from_secs(3);
-    let mut gates: Vec<SlowStartLimiter> = (0..routers)
+    let mut limiters: Vec<SlowStartLimiter> = (0..routers)
         .map(|number| {
-            let mut gate = SlowStartLimiter::new(until, start);
+            let mut limiter = SlowStartLimiter::new(until, start);
             let fleet = KnownFleet {
                 own_address: address(number),
-                peers: &knows(number),
+                peers: &known_peers(number),
                 is_complete: is_complete(number),
             };
-            let share = slow_start().router_rate(&fleet, 77);
-            gate.set_rate(share, start);
-            gate
+            let rate = slow_start().router_rate(&fleet, 77);
+            limiter.set_rate(rate, start);
+            limiter
         })
         .collect();
     let mut recent: VecDeque<Time> = VecDeque::new();
-    let (mut most, mut all) = (0, 0);
+    let (mut max_in_one_second, mut total) = (0, 0);
     let mut now = start;
     let mean_gap = 1.0 / (rate * routers as f64);
     loop {
         let gap = -mean_gap * (1.0 - random.random::<f64>()).ln();
         now = now + Duration::from_secs_f64(gap);
         if now >= until {
-            return (most, all);
+            return (max_in_one_second, total);
         }
-        let gate = &mut gates[random.random_range(0..routers)];
-        if !gate.allows_request(now) {
+        let limiter = &mut limiters[random.random_range(0..routers)];
+        if !limiter.allows_request(now) {
             continue;
         }
-        gate.on_send(now);
+        limiter.on_send(now);
         recent.push_back(now);
         while now.since(recent[0]) >= Duration::from_secs(1) {
             recent.pop_front();
         }
-        most = most.max(recent.len());
-        all += 1;
+        max_in_one_second = max_in_one_second.max(recent.len());
+        total += 1;
     }
 }
 
-fn everybody(routers: usize) -> impl Fn(usize) -> Vec<SocketAddr> {
+fn all_peers(routers: usize) -> impl Fn(usize) -> Vec<SocketAddr> {
     move |own| {
         (0..routers)
             .filter(|other| *other != own)
@@ -98,25 +105,31 @@
 
 const FLEETS: [usize; 5] = [1, 4, 23, 103, 330];
 
-/// Six times the load: 80 requests a second for one back end.
+/// At six times the usual load: 80 requests per second for one back end.
 #[test]
 fn a_cold_back_end_is_not_overloaded_by_a_fleet_of_any_size() {
     for routers in FLEETS {
-        let (most, all) = play(routers, 80.0 / routers as f64, everybody(routers));
+        let (most, all) = simulate(routers, 80.0 / routers as f64, all_peers(routers));
         println!("routers={routers} most={most} all={all}");
-        assert!(most <= MOST_IN_A_SECOND, "{routers} routers: {most}");
-        // Before few routers are chosen of many, each has few requests for it.
+        assert!(
+            most <= MAX_REQUESTS_IN_ONE_SECOND,
+            "{routers} routers: {most}"
+        );
+        // In a large fleet, each of the few selected routers has few requests for the back end.
         let least = if routers <= 23 { 35 } else { 7 };
-        assert!(all >= least, "{routers} routers: {all} of 69 that it bears");
+        assert!(
+            all >= least,
+            "{routers} routers: {all} of 69 that it handles"
+        );
     }
 }
 
-/// A quarter of the routers have just started, and know the three seeds only.
+/// A quarter of the routers have just started and know only the three seeds.
 #[test]
 fn routers_that_know_few_peers_do_not_overload_a_cold_back_end() {
     for routers in [23, 103] {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-        let knows = |own: usize| {
+        let known_peers = |own: usize| {
             if own.is_multiple_of(4) {
                 seeds
                     .iter()
@@ -124,38 +137,44 @@
                     .filter(|seed| *seed != address(own))
                     .collect()
             } else {
-                everybody(routers)(own)
+                all_peers(routers)(own)
             }
         };
-        let (most, _) = play(routers, 80.0 / routers as f64, knows);
+        let (most, _) = simulate(routers, 80.0 / routers as f64, known_peers);
         println!("routers={routers} most={most}");
-        assert!(most <= MOST_IN_A_SECOND, "{routers} routers: {most}");
+        assert!(
+            most <= MAX_REQUESTS_IN_ONE_SECOND,
+            "{routers} routers: {most}"
+        );
     }
 }
 
-/// The story. A fleet and its back ends came back together. Each router knew the three seeds
-/// only, took itself for one of four, and sent a cold back end a quarter of what the fleet
-/// may: 23 routers 56 requests in a second, where 39 make it fail. The same cause as that of a
-/// retry budget that is divided by the routers heard of.
+/// Guards against overload when a fleet and its back ends restart together. Each router knew only
+/// the three seeds, took itself for one of four, and sent a cold back end a quarter of the rate of
+/// the fleet: 23 routers sent 56 requests in one second, where 39 make it fail. A retry budget that
+/// is divided by the number of known routers fails in the same way.
 #[test]
 fn routers_that_all_start_together_do_not_overload_a_cold_back_end() {
     let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
     for routers in FLEETS {
-        let knows = |own: usize| {
+        let known_peers = |own: usize| {
             let others = seeds.iter().copied();
             others.filter(|seed| *seed != address(own)).collect()
         };
-        let (most, _) = play_with(routers, 80.0 / routers as f64, knows, |_| false);
+        let (most, _) = simulate_with(routers, 80.0 / routers as f64, known_peers, |_| false);
         println!("together routers={routers} most={most}");
-        assert!(most <= MOST_IN_A_SECOND, "{routers} routers: {most}");
+        assert!(
+            most <= MAX_REQUESTS_IN_ONE_SECOND,
+            "{routers} routers: {most}"
+        );
     }
 }
 
-/// At its usual load a cold back end takes a part of its work over before it is warm.
+/// At the usual load, a back end gets a part of its requests before it is warm.
 #[test]
 fn a_cold_back_end_gets_a_part_of_its_usual_load() {
     for routers in [1, 4, 23] {
-        let (_, all) = play(routers, 13.0 / routers as f64, everybody(routers));
+        let (_, all) = simulate(routers, 13.0 / routers as f64, all_peers(routers));
         println!("routers={routers} all={all} of 39");
         assert!(all >= 12, "{routers} routers: {all}");
     }
@@ -197,7 +216,7 @@
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(0), &mut change);
     assert!(is_cold(&back_ends, 2900));
     assert!(!is_cold(&back_ends, 3000));
-    // The same entry read again says nothing new; a newer one does.
+    // The same entry read again does not restart the slow start; a newer one does.
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(2000), &mut change);
     assert!(!is_cold(&back_ends, 3000));
     back_ends.upsert(entry(Duration::from_secs(3), 6), at(2000), &mut change);
@@ -211,12 +230,12 @@
     let mut back_ends = BackEnds::default();
     let mut change = DirectoryChange::default();
     back_ends.upsert(entry(Duration::from_secs(3), 5), at(0), &mut change);
-    let told = |milliseconds| {
+    let remaining = |milliseconds| {
         let delta = back_ends.changes_after(0, 5, at(milliseconds));
         delta.present[0].cold_for
     };
-    assert_eq!(told(1000), Duration::from_secs(2));
-    assert_eq!(told(60_000), Duration::ZERO);
+    assert_eq!(remaining(1000), Duration::from_secs(2));
+    assert_eq!(remaining(60_000), Duration::ZERO);
 }
 
 #[test]
@@ -233,7 +252,7 @@
     assert_eq!(back_ends.assume_cold("z", &[slow_start()], at(100)), 1);
     assert!(is_cold(&back_ends, 3000));
     let member = back_ends.get("b").expect("known");
-    assert!(!member.may_get_requests(at(101)), "no share is set yet");
+    assert!(!member.may_get_requests(at(101)), "no rate is set yet");
     back_ends.update_slow_start(&[slow_start()], &alone(), at(200));
     let member = back_ends.get("b").expect("known");
     assert!(member.may_get_requests(at(201)));
@@ -243,7 +262,7 @@
     );
 }
 
-/// Back ends whose pool bears the same at any time are not held back.
+/// A pool without slow start handles its full rate when cold, so its requests are not limited.
 #[test]
 fn a_pool_without_slow_start_serves_at_once() {
     let mut back_ends = BackEnds::default();
--- a/crates/stacktack-core/tests/zone_drains.rs
+++ b/crates/stacktack-core/tests/zone_drains.rs
@@ -1,5 +1,5 @@
-//! Drains of zones: the newest revision decides, and a fleet learns of them from the
-//! operator's store or, where that turns routers away, from each other.
+//! Drains of zones: the newest revision decides, and routers learn of drains from the operator's
+//! store or, where the store rejects their reads, by gossip.
 
 #[path = "event_queue/mod.rs"]
 mod event_queue;
@@ -27,7 +27,7 @@
 
 #[test]
 fn the_newest_revision_decides_in_whatever_order_updates_arrive() {
-    let news = [
+    let updates = [
         drain("a", true, 10),
         drain("a", false, 12),
         drain("a", true, 15),
@@ -38,9 +38,9 @@
     for _ in 0..50 {
         let mut drains = ZoneDrains::default();
         for _ in 0..40 {
-            drains.merge(&news[random.random_range(0..news.len())]);
+            drains.merge(&updates[random.random_range(0..updates.len())]);
         }
-        for change in &news {
+        for change in &updates {
             drains.merge(change);
         }
         assert!(drains.is_drained("a"));
@@ -55,9 +55,9 @@
     assert!(!drains.merge(&drain("a", false, 4)), "was not drained");
     assert!(drains.merge(&drain("a", true, 5)));
     assert!(!drains.merge(&drain("a", true, 5)), "the same again");
-    assert!(!drains.merge(&drain("a", true, 7)), "asked for again");
+    assert!(!drains.merge(&drain("a", true, 7)), "requested again");
     assert!(drains.merge(&drain("a", false, 9)));
-    assert!(!drains.merge(&drain("a", true, 8)), "late news");
+    assert!(!drains.merge(&drain("a", true, 8)), "late gossip");
 }
 
 #[test]
@@ -65,15 +65,15 @@
     let mut drains = ZoneDrains::default();
     drains.merge(&drain("a", true, 5));
     drains.merge(&drain("b", true, 30));
-    let news = ZoneDrainUpdate {
+    let snapshot = ZoneDrainUpdate {
         changes: Vec::new(),
         snapshot_revision: Some(20),
     };
-    for ended in drains.ended_drains(&news) {
+    for ended in drains.ended_drains(&snapshot) {
         drains.merge(&ended);
     }
     assert!(!drains.is_drained("a"));
-    assert!(drains.is_drained("b"), "asked for after the list was read");
+    assert!(drains.is_drained("b"), "requested after the snapshot");
     let changes_only = ZoneDrainUpdate::default();
     assert!(drains.ended_drains(&changes_only).is_empty());
 }
@@ -172,32 +172,33 @@
     }
 
     fn receive(&mut self, number: usize, datagram: u64) {
-        let (news, ()) = self.network.arrive(datagram);
+        let (gossip, ()) = self.network.arrive(datagram);
         let now = self.queue.now;
         let router = &mut self.routers[number];
         if router.paused {
             return;
         }
-        router.peers.receive(&news, now);
-        for drain in &news.zone_drains {
+        router.peers.receive(&gossip, now);
+        for drain in &gossip.zone_drains {
             router.drains.merge(drain);
         }
     }
 
-    /// Whether all routers that are not paused hold this of a zone.
-    fn all(&self, zone: &str, drained: bool) -> bool {
+    /// Whether all routers that are not paused have this state of a zone.
+    fn all_have(&self, zone: &str, drained: bool) -> bool {
         let mut running = self.routers.iter().filter(|router| !router.paused);
         running.all(|router| router.drains.is_drained(zone) == drained)
     }
 
-    /// Time until all routers hold this of a zone, at most `most`.
-    fn until_all(&mut self, zone: &str, drained: bool, most: Duration) -> Duration {
+    /// Runs until all routers have this state of a zone, which must take less than `max_time`.
+    /// Returns the time that it took.
+    fn run_until_all_have(&mut self, zone: &str, drained: bool, max_time: Duration) -> Duration {
         let from = self.queue.now;
-        while !self.all(zone, drained) {
+        while !self.all_have(zone, drained) {
             let passed = self.queue.now.since(from);
             assert!(
-                passed < most,
-                "{} routers: after {passed:?} not all hold drained={drained} of {zone}",
+                passed < max_time,
+                "{} routers: after {passed:?} not all have drained={drained} of {zone}",
                 self.routers.len()
             );
             self.run_for(Duration::from_millis(20));
@@ -206,46 +207,47 @@
     }
 }
 
-/// Time after a start of all routers at once in which they come to know each other.
-fn settled_after(routers: usize) -> Duration {
+/// Time in which routers that all start at once discover each other.
+fn discovery_time(routers: usize) -> Duration {
     Duration::from_secs(if routers > 200 { 60 } else { 12 })
 }
 
-/// Time within which a fleet learns of a drain from one router: less than the 5 s that
+/// Maximum time within which a fleet learns of a drain from one router: less than the 5 s that
 /// operators allow.
-const BOUND: Duration = Duration::from_secs(4);
+const MAX_SPREAD_TIME: Duration = Duration::from_secs(4);
 
-/// From one router that the store still answers to the whole fleet, and as quickly back.
+/// One router whose reads the store still answers passes on a drain, and the end of the drain as
+/// quickly, to the whole fleet.
 #[test]
 fn a_fleet_without_the_store_learns_of_a_drain_from_one_router() {
     for count in [1, 4, 23, 103, 330] {
         let mut fleet = Fleet::new(count);
-        fleet.run_for(settled_after(count));
+        fleet.run_for(discovery_time(count));
         for (revision, drained) in [(10, true), (20, false), (30, true)] {
             fleet.routers[count / 2]
                 .drains
                 .merge(&drain("b", drained, revision));
-            let took = fleet.until_all("b", drained, BOUND);
+            let took = fleet.run_until_all_have("b", drained, MAX_SPREAD_TIME);
             println!("routers={count} drained={drained} took={took:?}");
         }
     }
 }
 
-/// A router that starts anew while a zone is drained, and one that was paused while that
-/// was asked for, know it within 2 s of their return.
+/// A router that restarts while a zone is drained, and one that was paused when the drain was
+/// requested, learn of it within 2 s of their return.
 #[test]
 fn a_restarted_and_a_paused_router_learn_of_a_drain_soon() {
     for count in [4, 23, 103, 330] {
         let mut fleet = Fleet::new(count);
-        fleet.run_for(settled_after(count));
+        fleet.run_for(discovery_time(count));
         fleet.routers[0].paused = true;
         fleet.routers[1].drains.merge(&drain("b", true, 10));
-        fleet.until_all("b", true, BOUND);
-        let started = count - 1;
+        fleet.run_until_all_have("b", true, MAX_SPREAD_TIME);
+        let restarted = count - 1;
         let now = fleet.queue.now;
-        fleet.routers[started].peers = peers(started, count, &mut fleet.random, now);
-        fleet.routers[started].drains = ZoneDrains::default();
+        fleet.routers[restarted].peers = peers(restarted, count, &mut fleet.random, now);
+        fleet.routers[restarted].drains = ZoneDrains::default();
         fleet.routers[0].paused = false;
-        fleet.until_all("b", true, Duration::from_secs(2));
+        fleet.run_until_all_have("b", true, Duration::from_secs(2));
     }
 }
