--- a/crates/stacktack-direct/src/app.rs
+++ b/crates/stacktack-direct/src/app.rs
@@ -1,4 +1,4 @@
-//! A direct router's process: start, signals, stop.
+//! Process of a direct router: start, signals and stop.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,54 +27,54 @@
 use crate::settings::{DirectSettings, SettingsSource};
 use crate::stopping::stop;
 
-/// Time between clean-ups of resting connections and old places.
-const CLEAN_UP: Duration = Duration::from_secs(1);
+/// Time between two clean-ups of expired state, such as idle connections and prefix locations.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between looks at whether the settings changed.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+/// Time between two checks whether the settings have changed.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why a direct router ended early.
+/// Why a direct router could not start.
 #[derive(Debug, Error)]
 pub enum DirectError {
-    /// Sockets or signals failed.
+    /// A socket or signal handler failed.
     #[error("input or output failed: {0}")]
     Io(#[from] std::io::Error),
-    /// A state chart of the product is not complete.
+    /// A built-in state chart is invalid.
     #[error(transparent)]
     Chart(#[from] ChartError),
-    /// Metrics could not be set up.
+    /// Metrics could not be initialized.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
 
-/// What an adapter supplies.
+/// Interfaces that the platform adapter supplies.
 pub struct Ports {
-    /// Protocols towards callers and back ends.
+    /// Protocols to callers and back ends.
     pub protocol: Rc<dyn Protocol>,
     /// Source of the configuration.
     pub configuration: Rc<dyn ConfigurationSource>,
     /// Directory of back ends.
     pub directory: Rc<dyn Directory>,
-    /// Where verdicts on requests last.
+    /// Store of verdicts on requests.
     pub verdicts: Rc<dyn VerdictStore>,
-    /// Where the outcomes of roll-outs last.
+    /// Store of the outcomes of roll-outs.
     pub rollouts: Rc<dyn RolloutStore>,
-    /// Settings that may change.
+    /// Source of reloaded settings.
     pub settings: Rc<dyn SettingsSource>,
 }
 
-/// Runs a direct router until it is told to stop.
+/// Runs a direct router until a stop signal.
 pub async fn run(settings: DirectSettings, ports: Ports) -> Result<(), DirectError> {
-    // Before any address is open: callers that connect count on an orderly stop.
+    // Before any address accepts connections: callers that connect rely on a graceful stop.
     let mut stop_signals = StopSignals::catch()?;
     let hang_up = signal(SignalKind::hangup())?;
     let metrics = Metrics::new()?;
     let instruments = DirectMetrics::new(&metrics.meter());
-    let callers = listen(settings.callers)?;
-    let readiness = listen(settings.readiness)?;
-    let figures = listen(settings.metrics)?;
+    let callers_listener = listen(settings.callers)?;
+    let readiness_listener = listen(settings.readiness)?;
+    let metrics_listener = listen(settings.metrics)?;
     log::info!(target: "router", "started name={} zone={} callers={}", settings.name, settings.zone, settings.callers);
-    let knowledge = listen(settings.peers.listen)?;
+    let peers_listener = listen(settings.peers.listen)?;
     let socket = Rc::new(UdpSocket::bind(settings.peers.listen).await?);
     let router = Rc::new(Router::new(
         settings,
@@ -112,13 +112,17 @@
     actix_rt::spawn(news::exchange(router.clone(), socket, store));
     actix_rt::spawn({
         let router = router.clone();
-        serve_peers(knowledge, move |peer, path| hand_over(&router, peer, path))
+        serve_peers(peers_listener, move |peer, path| {
+            hand_over(&router, peer, path)
+        })
     });
-    actix_rt::spawn(accept_callers(router.clone(), callers));
-    actix_rt::spawn(serve_readiness(router.clone(), readiness));
-    actix_rt::spawn(serve_small(figures, move |_| match metrics.render() {
-        Ok(text) => (StatusCode::OK, Bytes::from(text)),
-        Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+    actix_rt::spawn(accept_callers(router.clone(), callers_listener));
+    actix_rt::spawn(serve_readiness(router.clone(), readiness_listener));
+    actix_rt::spawn(serve_small(metrics_listener, move |_| {
+        match metrics.render() {
+            Ok(text) => (StatusCode::OK, Bytes::from(text)),
+            Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+        }
     }));
     actix_rt::spawn(clean_up(router.clone()));
     actix_rt::spawn(follow_settings(router.clone(), ports.settings, hang_up));
@@ -139,12 +143,12 @@
     .await;
 }
 
-/// Reads the settings again at a signal, or when they may have changed.
+/// Reloads the settings on a hang-up signal, or when they may have changed.
 async fn follow_settings(router: Rc<Router>, source: Rc<dyn SettingsSource>, mut hang_up: Signal) {
     loop {
         let by_signal = tokio::select! {
             _ = hang_up.recv() => true,
-            () = sleep(SETTINGS_LOOK) => false,
+            () = sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
         if !by_signal && !source.may_have_changed() {
             continue;
@@ -163,7 +167,7 @@
 
 async fn clean_up(router: Rc<Router>) {
     loop {
-        sleep(CLEAN_UP).await;
+        sleep(CLEAN_UP_INTERVAL).await;
         router
             .connections
             .borrow_mut()
--- a/crates/stacktack-direct/src/clock.rs
+++ b/crates/stacktack-direct/src/clock.rs
@@ -1,22 +1,22 @@
-//! The router's clock, and suspensions of its machine.
+//! The router's clock, and detection of suspensions of its machine.
 
 use std::time::Duration;
 
 use stacktack_node::clock::Reading;
 use tokio::time::Instant;
 
-/// Growth of the difference between the clocks from which the machine counts as suspended:
-/// well above what reading two clocks one after the other takes, and below each bound that
-/// a suspension could break.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+/// Minimum growth of the difference between the two clocks that counts as a suspension: well above
+/// the time between reading one clock and the other, and below every time bound that a suspension
+/// could break.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Where readings of the clocks come from.
+/// Source of clock readings.
 pub trait Clock {
     /// Reads both clocks.
     fn read(&self) -> Reading;
 }
 
-/// The machine's clocks.
+/// The clocks of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -26,12 +26,12 @@
     }
 }
 
-/// The runtime's clock, which tests set: a machine that is never suspended.
+/// The clock of the async runtime, which tests control. It shows no suspensions.
 #[derive(Clone, Copy, Debug)]
 pub struct RuntimeClock(Instant);
 
 impl RuntimeClock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     pub fn start() -> Self {
         RuntimeClock(Instant::now())
     }
@@ -47,26 +47,27 @@
     }
 }
 
-/// Notices suspensions by what the clocks drift apart.
+/// Detects suspensions by the growing difference between the two clocks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SuspensionDetector {
-    known: Duration,
+    /// Total suspended time that was detected before, up to a constant.
+    detected: Duration,
 }
 
 impl SuspensionDetector {
     pub(crate) fn new(reading: &Reading) -> Self {
         SuspensionDetector {
-            known: reading.suspended(),
+            detected: reading.suspended(),
         }
     }
 
-    /// Time for which the machine was suspended since the last look, if it was.
+    /// Time for which the machine was suspended since the last detected suspension, if it was.
     pub(crate) fn detect(&mut self, reading: &Reading) -> Option<Duration> {
-        let suspended = reading.suspended().saturating_sub(self.known);
-        if suspended < LEAST_SUSPENSION {
+        let suspended = reading.suspended().saturating_sub(self.detected);
+        if suspended < MIN_SUSPENSION {
             return None;
         }
-        self.known = reading.suspended();
+        self.detected = reading.suspended();
         Some(suspended)
     }
 }
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: from which revision to read it, and when.
+//! Follows the configuration: when to read it, and after which revision.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -6,9 +6,9 @@
 
 use tokio::time::Instant;
 
-use super::looks::{is_informed, wait_for_news, Looks};
-use super::pause::Pause;
-use super::start::{Start, StartProgress};
+use super::backoff::Backoff;
+use super::poll_schedule::{is_updated_by_peers, long_poll_wait, PollSchedule};
+use super::start_delay::{StartDelay, StartProgress};
 use super::store_monitor::StoreMonitor;
 use crate::calls::{CallEvent, Calls, EndedCall};
 use crate::freshness::SourceKnowledge;
@@ -16,18 +16,18 @@
 use crate::router::Router;
 use crate::transfer::Transfer;
 
-/// The configuration in logs and metrics.
+/// Name of the source in logs and metrics.
 const SOURCE: &str = "configuration";
 
-/// Time without an answer after which the configuration is read as it stands, and not
-/// what came after the last revision: such news holds every version in between.
-const MANY_MISSED: Duration = Duration::from_secs(2);
+/// Time without an answer after which a snapshot of the configuration is read instead of the
+/// changes after the last revision: those hold every version in between.
+const MIN_GAP_FOR_SNAPSHOT: Duration = Duration::from_secs(2);
 
-/// Transfer of several versions after which it is read as it stands too: more have come
-/// while it lasted.
-const LONG_TRANSFER: Duration = Duration::from_millis(500);
+/// Duration of a transfer of several versions after which a snapshot is read next: more versions
+/// were stored while the transfer lasted.
+const MIN_TRANSFER_FOR_SNAPSHOT: Duration = Duration::from_millis(500);
 
-/// Follows the configuration for ever.
+/// Keeps the configuration of `router` current, from the store or from peers. Never returns.
 pub async fn follow_configuration(
     router: Rc<Router>,
     source: Rc<dyn ConfigurationSource>,
@@ -37,134 +37,137 @@
         router: router.clone(),
         store: store.clone(),
         history_gone: false,
-        silent_since: None,
-        behind: false,
-        drains_missed: false,
-        looks: Looks::new(),
-        pause: Pause::new(),
-        start: Start::now(&router),
+        unanswered_since: None,
+        is_lagging: false,
+        may_have_missed_drains: false,
+        polls: PollSchedule::new(),
+        backoff: Backoff::new(),
+        start: StartDelay::begin(&router),
     };
-    let mut calls = Calls::starting_after(follower.start.pause());
+    let mut calls = Calls::starting_after(follower.start.initial_delay());
     loop {
-        let patience = follower.patience();
+        let timeout = follower.timeout();
         let watches = !calls.is_idle();
-        // A lost store is tried again after pauses of its own.
-        let tries_again = watches && store.is_lost();
-        let may_look = !tries_again && !calls.is_any_arriving();
+        // A lost store is called again after the backoff, not by polls.
+        let is_retrying = watches && store.is_lost();
+        let may_poll = !is_retrying && !calls.is_any_arriving();
         let budget = router.configuration_budget();
         let known = &router.freshness.configuration;
-        let look = follower
-            .looks
+        let poll_due = follower
+            .polls
             .due(&router, budget, store.lateness(), known, watches);
         let event = tokio::select! {
-            event = calls.event(patience) => event,
-            cause = look, if may_look => {
-                follower.look(cause.as_str(), &mut calls);
+            event = calls.event(timeout) => event,
+            cause = poll_due, if may_poll => {
+                follower.poll(cause.as_str(), &mut calls);
                 continue;
             }
             () = router.configuration_look.notified() => {
-                follower.look("behind", &mut calls);
+                follower.poll("behind", &mut calls);
                 continue;
             }
             () = router.resumed() => {
-                follower.on_silence(Instant::now());
+                follower.record_unanswered(Instant::now());
                 calls.next_after(Duration::ZERO);
                 continue;
             }
-            () = store.returned(), if watches => {
-                // A call that waits may have been lost with the outage. One whose
-                // answer is arriving goes on: dropped, it would begin at its first byte.
+            () = store.recovered(), if watches => {
+                // A call that waits at the store may have been lost in the outage. A call whose
+                // response is arriving continues: another one would start again at the first byte.
                 if !calls.is_any_arriving() {
-                    follower.on_silence(Instant::now());
+                    follower.record_unanswered(Instant::now());
                     calls.next_after(Duration::ZERO);
                 }
                 continue;
             }
         };
         match event {
-            CallEvent::Due if follower.start_progress().is_left_to_peers(&follower.looks) => {
-                calls.plan(follower.start_progress().more_time());
+            CallEvent::Due
+                if follower
+                    .start_progress()
+                    .is_deferred_to_peers(&follower.polls) =>
+            {
+                calls.plan(follower.start_progress().remaining_delay());
             }
-            CallEvent::Due if !follower.goes_on() => calls.plan(None),
-            CallEvent::Due => follower.ask(source.as_ref(), &mut calls),
-            CallEvent::Answered(news, call) => {
-                let told_nothing = news.is_empty();
-                let pause = follower.on_answer(news, &call);
-                calls.after_answer(&call, told_nothing, pause);
+            CallEvent::Due if !follower.should_call() => calls.plan(None),
+            CallEvent::Due => follower.call(source.as_ref(), &mut calls),
+            CallEvent::Answered(update, call) => {
+                let is_empty = update.is_empty();
+                let delay = follower.on_response(update, &call);
+                calls.after_answer(&call, is_empty, delay);
             }
             CallEvent::Failed(error, call) => calls.plan(follower.on_failure(error, &call)),
             CallEvent::Late { transfer, .. } => calls.plan(follower.on_late(&transfer)),
-            CallEvent::GivenUp(call) => report(&call, "given up"),
+            CallEvent::GivenUp(call) => log_call_end(&call, "given up"),
         }
     }
 }
 
-/// Follows the configuration.
+/// State of the task that follows the configuration.
 struct ConfigurationFollower {
     router: Rc<Router>,
     store: Rc<StoreMonitor>,
-    /// Whether the store has forgotten what came after such revisions.
+    /// Whether the store no longer has the changes after the known revision.
     history_gone: bool,
-    /// Since when the store has not answered, if it should have.
-    silent_since: Option<Instant>,
-    /// Whether more versions come than are taken one by one.
-    behind: bool,
-    /// Whether changes were passed over that may hold drains of zones.
-    drains_missed: bool,
-    looks: Looks,
-    pause: Pause,
-    start: Start,
+    /// Since when an answer of the store is overdue; `None` if none is.
+    unanswered_since: Option<Instant>,
+    /// Whether versions are stored faster than this router reads them one by one.
+    is_lagging: bool,
+    /// Whether changes were skipped that may include zone drains.
+    may_have_missed_drains: bool,
+    polls: PollSchedule,
+    backoff: Backoff,
+    start: StartDelay,
 }
 
 impl ConfigurationFollower {
-    fn patience(&self) -> Duration {
-        self.store.patience(self.router.version() == 0)
+    fn timeout(&self) -> Duration {
+        self.store.timeout(self.router.version() == 0)
     }
 
-    /// Revision after which to read; `None` for the configuration as it stands.
+    /// Revision after which to read; `None` for a snapshot.
     ///
-    /// What peers told counts as read: a router that followed them for 7.5 s and then
-    /// asked after the last revision that the store had told it got 1.7 MB of versions
-    /// older than its own, for 2.7 s on 10 Mbit/s, and four more came meanwhile.
+    /// Revisions learned from peers count as read. Otherwise a router that was updated by peers for
+    /// 7.5 s and then read after the last revision it had from the store would get 1.7 MB of
+    /// versions older than its own, which takes 2.7 s at 10 Mbit/s; four more versions were stored
+    /// meanwhile.
     fn read_after(&self) -> Option<u64> {
         if self.history_gone {
             return None;
         }
-        let told = self.known().read_at();
+        let read_at = self.knowledge().read_at();
         let in_force = self.router.configuration_revision();
-        if in_force > told.unwrap_or(0) {
+        if in_force > read_at.unwrap_or(0) {
             return Some(in_force);
         }
-        let long_silent = |since: Instant| since.elapsed() >= MANY_MISSED;
+        let is_long_gap = |since: Instant| since.elapsed() >= MIN_GAP_FOR_SNAPSHOT;
         let age = self.router.configuration_age();
-        let is_old = age.is_none_or(|age| age >= MANY_MISSED);
-        let missed_many = self.behind || (is_old && self.silent_since.is_some_and(long_silent));
-        told.filter(|_| !missed_many)
+        let is_old = age.is_none_or(|age| age >= MIN_GAP_FOR_SNAPSHOT);
+        let missed_many =
+            self.is_lagging || (is_old && self.unanswered_since.is_some_and(is_long_gap));
+        read_at.filter(|_| !missed_many)
     }
 
-    /// Wait for news in one call.
+    /// Long-poll wait of one call.
     fn wait(&self) -> Duration {
         let age = self.router.configuration_age().unwrap_or_default();
-        wait_for_news(&self.router, &self.router.configuration_budget(), age)
+        long_poll_wait(&self.router, &self.router.configuration_budget(), age)
     }
 
-    /// What is known of the configuration.
-    fn known(&self) -> &SourceKnowledge {
+    fn knowledge(&self) -> &SourceKnowledge {
         &self.router.freshness.configuration
     }
 
-    /// Whether the call that is due is to be made.
-    fn goes_on(&mut self) -> bool {
+    fn should_call(&mut self) -> bool {
         let known = &self.router.freshness.configuration;
-        self.looks.goes_on(SOURCE, known)
+        self.polls.should_call(SOURCE, known)
     }
 
-    /// How far peers have come with telling a router that starts.
     fn start_progress(&self) -> StartProgress<'_> {
         StartProgress {
             start: &self.start,
             router: &self.router,
-            is_told: self.known().as_of().is_some(),
+            is_initialized: self.knowledge().as_of().is_some(),
             peer_knows_more: self.peer_knows_more(),
         }
     }
@@ -176,8 +179,8 @@
             .is_some()
     }
 
-    /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, ConfigurationUpdate>) {
+    /// Polls the store at once, beside the calls in flight.
+    fn poll(&mut self, cause: &'static str, calls: &mut Calls<'_, ConfigurationUpdate>) {
         log::info!(
             target: "configuration",
             "look=true cause={} age_ms={} version={}",
@@ -185,90 +188,97 @@
             self.router.configuration_age().unwrap_or_default().as_millis(),
             self.router.version(),
         );
-        self.looks.ask(cause, &self.router);
+        self.polls.request_poll(cause, &self.router);
         calls.next_after(Duration::ZERO);
     }
 
-    /// Makes a call. It waits for news only if the last one was answered and it is no look:
-    /// whether the store answers at all has to show at once.
-    fn ask<'a>(
+    /// Calls the store. The call has a long-poll wait only if no answer is overdue and the call is
+    /// not a poll: otherwise it must show at once whether the store answers at all.
+    fn call<'a>(
         &mut self,
         source: &'a dyn ConfigurationSource,
         calls: &mut Calls<'a, ConfigurationUpdate>,
     ) {
         let after = self.read_after();
-        self.drains_missed |= after > self.known().read_at();
-        let is_look = self.looks.is_look();
+        self.may_have_missed_drains |= after > self.knowledge().read_at();
+        let is_poll = self.polls.is_poll();
         let wait = match after {
-            Some(_) if self.silent_since.is_none() && !is_look => self.wait(),
+            Some(_) if self.unanswered_since.is_none() && !is_poll => self.wait(),
             _ => Duration::ZERO,
         };
-        self.looks.on_call(SOURCE, wait, &self.router);
+        self.polls.on_call(SOURCE, wait, &self.router);
         let transfer = Transfer::begin();
-        let answer = source.configuration(after, wait, transfer.clone());
-        calls.begin(after, wait, transfer, answer);
+        let response = source.configuration(after, wait, transfer.clone());
+        calls.begin(after, wait, transfer, response);
     }
 
-    /// An answer came. Returns when to ask again, if this router goes on watching.
-    fn on_answer(&mut self, news: ConfigurationUpdate, call: &EndedCall) -> Option<Duration> {
+    /// Applies a response. Returns the delay before the next call, or `None` if this router stops
+    /// watching the store.
+    fn on_response(&mut self, update: ConfigurationUpdate, call: &EndedCall) -> Option<Duration> {
         let router = &self.router;
         let known = &router.freshness.configuration;
-        let goes_on = self
-            .looks
-            .on_answer(SOURCE, known, news.answered_at_ms, router);
-        self.pause.reset();
-        self.store.on_lateness(call.lateness());
+        let keeps_watching = self
+            .polls
+            .on_response(SOURCE, known, update.answered_at_ms, router);
+        self.backoff.reset();
+        self.store.record_lateness(call.lateness());
         self.router.note_heard();
-        self.silent_since = None;
+        self.unanswered_since = None;
         self.history_gone = false;
-        self.known().note_read(news.revision);
-        self.router.take_zone_drain_news(&news.zone_drains);
-        self.router.take_rollout_orders(&news.rollouts);
-        if news.zone_drains.snapshot_revision.is_some() {
-            self.drains_missed = false;
-        } else if self.drains_missed {
-            self.drains_missed = false;
+        self.knowledge().record_read(update.revision);
+        self.router.take_zone_drain_news(&update.zone_drains);
+        self.router.take_rollout_orders(&update.rollouts);
+        if update.zone_drains.snapshot_revision.is_some() {
+            self.may_have_missed_drains = false;
+        } else if self.may_have_missed_drains {
+            self.may_have_missed_drains = false;
             self.router.zone_drains_missed.notify_one();
         }
-        self.behind = news.version_count > 1 && call.transfer.arriving_for() >= LONG_TRANSFER;
-        if news.version_count > 0 {
-            report(call, "taken");
+        self.is_lagging =
+            update.version_count > 1 && call.transfer.arriving_for() >= MIN_TRANSFER_FOR_SNAPSHOT;
+        if update.version_count > 0 {
+            log_call_end(call, "taken");
         }
-        if news.invalid {
-            log::warn!(target: "configuration", "revision={} adopted=false cause=invalid", news.revision);
+        if update.invalid {
+            log::warn!(target: "configuration", "revision={} adopted=false cause=invalid", update.revision);
         }
-        if let Some(configuration) = news.configuration {
+        if let Some(configuration) = update.configuration {
             self.router.adopt(Arc::new(configuration));
         }
-        self.router
-            .record_configuration_age(call.answer_age(self.store.lateness()), news.answered_at_ms);
-        goes_on.then_some(Duration::ZERO)
+        self.router.record_configuration_age(
+            call.answer_age(self.store.lateness()),
+            update.answered_at_ms,
+        );
+        keeps_watching.then_some(Duration::ZERO)
     }
 
-    /// A call failed. Returns when to ask again, unless peers tell what is new.
+    /// Handles a failed call. Returns the delay before the next call, or `None` if peers keep this
+    /// router current.
     fn on_failure(&mut self, error: SourceError, call: &EndedCall) -> Option<Duration> {
-        report(call, &error.to_string());
+        log_call_end(call, &error.to_string());
         if error == SourceError::HistoryGone {
             self.history_gone = true;
             return Some(Duration::ZERO);
         }
-        self.on_silence(Instant::now());
-        self.retry()
+        self.record_unanswered(Instant::now());
+        self.retry_delay()
     }
 
-    /// When to ask again after a call without an answer.
-    fn retry(&mut self) -> Option<Duration> {
-        if is_informed(
+    /// Delay before the next call after one without an answer; `None` if peers keep this router
+    /// current.
+    fn retry_delay(&mut self) -> Option<Duration> {
+        if is_updated_by_peers(
             &self.router,
             &self.router.configuration_budget(),
-            self.known(),
+            self.knowledge(),
         ) {
             return None;
         }
-        Some(self.pause.take(&self.router))
+        Some(self.backoff.next_delay(&self.router))
     }
 
-    /// The newest call is late; it goes on. Returns when to make another one.
+    /// Handles a call that is late and stays in flight. Returns the delay before a call beside it,
+    /// or `None` if peers keep this router current.
     fn on_late(&mut self, transfer: &Transfer) -> Option<Duration> {
         log::info!(
             target: "configuration",
@@ -276,17 +286,16 @@
             transfer.bytes(),
             transfer.elapsed().as_millis()
         );
-        self.on_silence(transfer.last_progress());
-        self.retry()
+        self.record_unanswered(transfer.last_progress());
+        self.retry_delay()
     }
 
-    fn on_silence(&mut self, since: Instant) {
-        self.silent_since = self.silent_since.or(Some(since));
+    fn record_unanswered(&mut self, since: Instant) {
+        self.unanswered_since = self.unanswered_since.or(Some(since));
     }
 }
 
-/// Says how a call for the configuration ended.
-fn report(call: &EndedCall, end: &str) {
+fn log_call_end(call: &EndedCall, end: &str) {
     log::info!(
         target: "configuration",
         "read=store after={} bytes={} ms={} end=\"{end}\"",
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: when to ask its store, and when to believe that an entry is gone.
+//! Follows the directory: when to read it, and when to treat a missing entry as removed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use stacktack_core::time::Time;
 use tokio::time::sleep;
 
-use super::looks::{is_informed, wait_for_news, Looks};
-use super::pause::Pause;
-use super::start::{Start, StartProgress};
+use super::backoff::Backoff;
+use super::poll_schedule::{is_updated_by_peers, long_poll_wait, PollSchedule};
+use super::start_delay::{StartDelay, StartProgress};
 use super::store_monitor::StoreMonitor;
 use crate::calls::{CallEvent, Calls, EndedCall};
 use crate::freshness::SourceKnowledge;
@@ -19,51 +19,57 @@
 use crate::router::Router;
 use crate::transfer::Transfer;
 
-/// Pause after an answer that told nothing new: a store that lets no call wait is not asked
-/// without end.
-const NOTHING_NEW_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a response without changes: without the delay, a store that answers long polls at
+/// once would be called in a busy loop.
+const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 
-/// The directory in logs and metrics.
+/// Name of the source in logs and metrics.
 const SOURCE: &str = "directory";
 
-/// Time between looks at whether entries that vanished are gone: with a pause before the store's return
-/// is noticed, 0.4 s, and the time for renewal, 2.2 s, less than the 3 s after which routers are bound again.
-const HELD_LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks whether pending removals can be applied. With the backoff until the
+/// return of the store is noticed (0.4 s) and the renewal period (2.2 s) it stays below the 3 s
+/// after which routers have to act on departures again.
+const PENDING_REMOVALS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Changes of one kind in one answer that are written one by one. A start reads all entries at once:
-/// 632 lines at each of 357 routers.
-const LISTED_CHANGES: usize = 24;
+/// Maximum number of changes of one kind in one response that are logged one by one. A starting
+/// router reads all entries at once, which would be 632 lines at each of 357 routers.
+const MAX_LISTED_CHANGES: usize = 24;
 
-/// Follows the directory for ever.
+/// Keeps the back ends of `router` current, from the directory or from peers. Never returns.
 pub async fn follow_directory(
     router: Rc<Router>,
     directory: Rc<dyn Directory>,
     store: Rc<StoreMonitor>,
 ) {
     let mut follower = DirectoryFollower {
-        start: Start::now(&router),
+        start: StartDelay::begin(&router),
         router,
         store,
-        looks: Looks::new(),
-        pause: Pause::new(),
+        polls: PollSchedule::new(),
+        backoff: Backoff::new(),
     };
-    let mut calls = Calls::starting_after(follower.start.pause());
+    let mut calls = Calls::starting_after(follower.start.initial_delay());
     loop {
-        match follower.event(&mut calls).await {
-            CallEvent::Due if follower.start_progress().is_left_to_peers(&follower.looks) => {
-                calls.plan(follower.start_progress().more_time());
+        match follower.next_event(&mut calls).await {
+            CallEvent::Due
+                if follower
+                    .start_progress()
+                    .is_deferred_to_peers(&follower.polls) =>
+            {
+                calls.plan(follower.start_progress().remaining_delay());
             }
-            CallEvent::Due if !follower.goes_on() => calls.plan(None),
-            CallEvent::Due => follower.ask(directory.as_ref(), &mut calls),
-            CallEvent::Answered(news, call) => {
-                let told_nothing = news.delta.is_empty();
-                let pause = follower.on_answer(news, &call);
-                calls.after_answer(&call, told_nothing, pause);
+            CallEvent::Due if !follower.should_call() => calls.plan(None),
+            CallEvent::Due => follower.call(directory.as_ref(), &mut calls),
+            CallEvent::Answered(update, call) => {
+                let is_empty = update.delta.is_empty();
+                let delay = follower.on_response(update, &call);
+                calls.after_answer(&call, is_empty, delay);
             }
             CallEvent::Failed(error, _) => calls.plan(follower.on_failure(error)),
             CallEvent::Late { waits, .. } if !waits.is_zero() => {
-                // Its connection may be dead; whether the store answers, a new one shows.
-                follower.look("read_late", &mut calls);
+                // The connection of the call may be dead; a poll on a new one shows whether the
+                // store answers.
+                follower.poll("read_late", &mut calls);
             }
             CallEvent::Late { .. } => calls.plan(follower.on_failure(SourceError::TimedOut)),
             CallEvent::GivenUp(call) => {
@@ -73,55 +79,51 @@
     }
 }
 
-/// Follows the directory.
+/// State of the task that follows the directory.
 struct DirectoryFollower {
     router: Rc<Router>,
     store: Rc<StoreMonitor>,
-    looks: Looks,
-    pause: Pause,
-    start: Start,
+    polls: PollSchedule,
+    backoff: Backoff,
+    start: StartDelay,
 }
 
 impl DirectoryFollower {
-    /// Time to wait for news in one call. A store that was lost is asked
-    /// without a wait, so that its return is noticed at once.
+    /// Long-poll wait of one call; zero for a lost store, so that its return is noticed at once.
     fn wait(&mut self) -> Duration {
-        if self.looks.is_look() || self.store.is_lost() {
+        if self.polls.is_poll() || self.store.is_lost() {
             return Duration::ZERO;
         }
         let age = self.router.directory_age().unwrap_or_default();
-        wait_for_news(&self.router, &self.router.directory_budget(), age)
+        long_poll_wait(&self.router, &self.router.directory_budget(), age)
     }
 
-    /// Looks at the store beside the calls that are under way.
-    fn look(&mut self, cause: &'static str, calls: &mut Calls<'_, DirectoryUpdate>) {
+    /// Polls the store at once, beside the calls in flight.
+    fn poll(&mut self, cause: &'static str, calls: &mut Calls<'_, DirectoryUpdate>) {
         log::info!(
             target: "directory",
             "look=true cause={cause} age_ms={} revision={}",
             self.router.directory_age_text(),
             self.router.directory_changed.get(),
         );
-        self.looks.ask(cause, &self.router);
+        self.polls.request_poll(cause, &self.router);
         calls.next_after(Duration::ZERO);
     }
 
-    /// What is known of the directory.
-    fn known(&self) -> &SourceKnowledge {
+    fn knowledge(&self) -> &SourceKnowledge {
         &self.router.freshness.directory
     }
 
-    /// Whether the call that is due is to be made.
-    fn goes_on(&mut self) -> bool {
+    fn should_call(&mut self) -> bool {
         let known = &self.router.freshness.directory;
-        self.looks.goes_on(SOURCE, known)
+        self.polls.should_call(SOURCE, known)
     }
 
-    /// How far peers have come with telling a router that starts.
     fn start_progress(&self) -> StartProgress<'_> {
         StartProgress {
             start: &self.start,
             router: &self.router,
-            is_told: self.known().as_of().is_some(),
+            is_initialized: self.knowledge().as_of().is_some(),
             peer_knows_more: self.peer_knows_more(),
         }
     }
@@ -133,126 +135,137 @@
             .is_some()
     }
 
-    /// Makes a call.
-    fn ask<'a>(&mut self, directory: &'a dyn Directory, calls: &mut Calls<'a, DirectoryUpdate>) {
+    /// Calls the store. Only a call after a revision can wait there; a snapshot comes at once.
+    fn call<'a>(&mut self, directory: &'a dyn Directory, calls: &mut Calls<'a, DirectoryUpdate>) {
         let wait = self.wait();
-        let after = self.known().read_at();
-        let wait_there = after.map_or(Duration::ZERO, |_| wait);
-        self.looks.on_call(SOURCE, wait_there, &self.router);
+        let after = self.knowledge().read_at();
+        let wait_at_store = after.map_or(Duration::ZERO, |_| wait);
+        self.polls.on_call(SOURCE, wait_at_store, &self.router);
         let transfer = Transfer::begin();
-        let answer = directory.back_ends(after, wait, transfer.clone());
-        calls.begin(after, wait_there, transfer, answer);
+        let response = directory.back_ends(after, wait, transfer.clone());
+        calls.begin(after, wait_at_store, transfer, response);
     }
 
-    /// Awaits what happens next to the calls, and meanwhile takes as gone what was
-    /// held long enough.
-    async fn event(
+    /// Waits for the next event of the calls. Meanwhile starts polls that are due and applies
+    /// pending removals.
+    async fn next_event(
         &mut self,
         calls: &mut Calls<'_, DirectoryUpdate>,
     ) -> CallEvent<DirectoryUpdate> {
-        let patience = self.store.patience(self.known().read_at().is_none());
+        let timeout = self.store.timeout(self.knowledge().read_at().is_none());
         let budget = self.router.directory_budget();
         loop {
             let watches = !calls.is_idle();
-            // A lost store is tried again after pauses of its own.
-            let tries_again = watches && self.store.is_lost();
-            let may_look = !tries_again && !calls.is_any_arriving();
+            // A lost store is called again after the backoff, not by polls.
+            let is_retrying = watches && self.store.is_lost();
+            let may_poll = !is_retrying && !calls.is_any_arriving();
             let lateness = self.store.lateness();
-            let look = self
-                .looks
-                .due(&self.router, budget, lateness, self.known(), watches);
+            let poll_due =
+                self.polls
+                    .due(&self.router, budget, lateness, self.knowledge(), watches);
             tokio::select! {
-                event = calls.event(patience) => return event,
-                cause = look, if may_look => self.look(cause.as_str(), calls),
-                () = self.router.directory_look.notified() => self.look("behind", calls),
+                event = calls.event(timeout) => return event,
+                cause = poll_due, if may_poll => self.poll(cause.as_str(), calls),
+                () = self.router.directory_look.notified() => self.poll("behind", calls),
                 () = self.router.resumed() => {
-                    // What was missing may only have been unable to renew itself, and the call
-                    // under way may wait on a connection that is gone.
+                    // Missing entries may only have been unable to renew themselves, and the call
+                    // in flight may wait on a dead connection.
                     self.store.on_failure(self.router.now(), SourceError::Suspended);
                     calls.next_after(Duration::ZERO);
                 }
-                () = sleep(HELD_LOOK), if self.holds_any() => self.release_held(),
+                () = sleep(PENDING_REMOVALS_CHECK_INTERVAL), if self.has_pending_removals() =>
+                    self.apply_pending_removals(),
             }
         }
     }
 
-    /// An answer came. Returns when to ask again, if this router goes on watching.
-    fn on_answer(&mut self, news: DirectoryUpdate, call: &EndedCall) -> Option<Duration> {
+    /// Applies a response. Returns the delay before the next call, or `None` if this router stops
+    /// watching the store.
+    fn on_response(&mut self, update: DirectoryUpdate, call: &EndedCall) -> Option<Duration> {
         let now = self.router.now();
         let router = &self.router;
         let known = &router.freshness.directory;
-        let goes_on = self
-            .looks
-            .on_answer(SOURCE, known, news.answered_at_ms, router);
-        let nothing_new = news.delta.is_empty();
-        self.pause.reset();
-        self.store.on_lateness(call.lateness());
+        let keeps_watching = self
+            .polls
+            .on_response(SOURCE, known, update.answered_at_ms, router);
+        let is_empty = update.delta.is_empty();
+        self.backoff.reset();
+        self.store.record_lateness(call.lateness());
         self.store.on_answer(now);
         self.router.note_heard();
         self.router.store_lost.set(false);
-        self.known().note_read(news.revision);
-        self.router
-            .record_directory_age(call.answer_age(self.store.lateness()), news.answered_at_ms);
-        self.take_news(news, now);
-        if !goes_on {
+        self.knowledge().record_read(update.revision);
+        self.router.record_directory_age(
+            call.answer_age(self.store.lateness()),
+            update.answered_at_ms,
+        );
+        self.apply_update(update, now);
+        if !keeps_watching {
             return None;
         }
-        if nothing_new {
-            return Some(NOTHING_NEW_PAUSE);
+        if is_empty {
+            return Some(EMPTY_RESPONSE_DELAY);
         }
         let peers = self.router.peers.borrow();
-        let sharing = if peers.any_directory_steady(now) {
+        let sharing_routers = if peers.any_directory_steady(now) {
             peers.live_count() + 1
         } else {
             1
         };
         Some(update_batching::batch_window(
-            sharing,
+            sharing_routers,
             &self.router.directory_budget(),
         ))
     }
 
-    /// A call failed, or is late. Returns when to ask again, unless peers tell what is new.
+    /// Handles a call that failed or is late. Returns the delay before the next call, or `None` if
+    /// peers keep this router current.
     fn on_failure(&mut self, error: SourceError) -> Option<Duration> {
         if error == SourceError::HistoryGone {
-            self.known().forget_read();
+            self.knowledge().forget_read();
             return Some(Duration::ZERO);
         }
         self.store.on_failure(self.router.now(), error);
         self.router.store_lost.set(true);
-        if is_informed(&self.router, &self.router.directory_budget(), self.known()) {
+        if is_updated_by_peers(
+            &self.router,
+            &self.router.directory_budget(),
+            self.knowledge(),
+        ) {
             return None;
         }
-        Some(self.pause.take(&self.router))
+        Some(self.backoff.next_delay(&self.router))
     }
 
-    /// Whether the store answered this router, or some peer, long enough.
+    /// Whether the store has answered this router or some peer for long enough, without a gap, that
+    /// all live back ends have renewed their entries.
     fn is_steady(&self, now: Time) -> bool {
-        let answers =
+        let is_answering =
             self.store.is_steady(now) || self.router.peers.borrow().any_directory_steady(now);
-        answers && self.router.directory_had_no_gap()
+        is_answering && self.router.directory_had_no_gap()
     }
 
-    fn holds_any(&self) -> bool {
+    fn has_pending_removals(&self) -> bool {
         !self.router.held_departures.borrow().is_empty()
     }
 
-    fn release_held(&self) {
+    /// Applies the pending removals once the directory is steady.
+    fn apply_pending_removals(&self) {
         if !self.is_steady(self.router.now()) {
             return;
         }
         let mut change = DirectoryChange::default();
-        let gone = self.router.held_departures.borrow_mut().take_all();
+        let removed = self.router.held_departures.borrow_mut().take_all();
         let mut back_ends = self.router.back_ends.borrow_mut();
-        for departure in gone {
-            back_ends.remove(departure, &mut change);
+        for entry in removed {
+            back_ends.remove(entry, &mut change);
         }
         drop(back_ends);
-        report(&self.router, &change, self.router.directory_changed.get());
+        on_change(&self.router, &change, self.router.directory_changed.get());
     }
 
-    fn take_news(&self, news: DirectoryUpdate, now: Time) {
-        for id in &news.invalid_rows {
+    fn apply_update(&self, update: DirectoryUpdate, now: Time) {
+        for id in &update.invalid_rows {
             log::warn!(target: "directory", "back_end={id} taken=false cause=invalid_row");
         }
         let evidence = if self.is_steady(now) {
@@ -260,12 +273,12 @@
         } else {
             RemovalEvidence::Insufficient
         };
-        apply_delta(&self.router, news.delta, news.revision, evidence);
+        apply_delta(&self.router, update.delta, update.revision, evidence);
     }
 }
 
-/// Takes news of the directory, read as of a revision; without evidence that they are gone,
-/// entries that vanished are held.
+/// Applies a change of the directory that was read as of revision `read_at`. Without sufficient
+/// evidence, removals of missing entries stay pending.
 pub fn apply_delta(
     router: &Router,
     delta: DirectoryDelta,
@@ -276,54 +289,55 @@
     let mut revision = delta.revision;
     let mut change = DirectoryChange::default();
     let mut back_ends = router.back_ends.borrow_mut();
-    let mut held = router.held_departures.borrow_mut();
-    let mut gone = delta.gone;
+    let mut pending = router.held_departures.borrow_mut();
+    let mut removed = delta.gone;
     if delta.whole {
         let missing = back_ends.missing_from(&delta.present, read_at);
         if !missing.is_empty() {
-            // What is not listed does not show when it left.
+            // A snapshot doesn't say at which revision a missing entry was removed.
             revision = read_at;
         }
-        gone.extend(missing);
+        removed.extend(missing);
         back_ends.on_snapshot(revision);
     }
     let changed = router.directory_changed.get().max(revision);
     router.directory_changed.set(changed);
     for entry in delta.present {
-        held.on_renewed(&entry.id, entry.revision);
+        pending.on_renewed(&entry.id, entry.revision);
         back_ends.upsert(entry, now, &mut change);
     }
     if evidence == RemovalEvidence::Insufficient {
-        for departure in &gone {
+        for entry in &removed {
             log::info!(
                 target: "directory",
                 "back_end={} now=missing held=true revision={}",
-                departure.id,
-                departure.revision
+                entry.id,
+                entry.revision
             );
         }
     }
-    for departure in held.on_missing(gone, evidence) {
-        back_ends.remove(departure, &mut change);
+    for entry in pending.on_missing(removed, evidence) {
+        back_ends.remove(entry, &mut change);
     }
     drop(back_ends);
-    report(router, &change, revision);
+    on_change(router, &change, revision);
 }
 
-fn report(router: &Router, change: &DirectoryChange, revision: u64) {
+/// Logs a change of the directory, and drops state of the instances and back ends that it removed.
+fn on_change(router: &Router, change: &DirectoryChange, revision: u64) {
     let lists = [
         ("joined", &change.joined),
         ("reborn", &change.restarted),
         ("leaving", &change.leaving),
         ("gone", &change.gone),
     ];
-    for (word, ids) in lists {
-        if ids.len() > LISTED_CHANGES {
-            log::info!(target: "directory", "back_ends={} now={word} revision={revision}", ids.len());
+    for (state, ids) in lists {
+        if ids.len() > MAX_LISTED_CHANGES {
+            log::info!(target: "directory", "back_ends={} now={state} revision={revision}", ids.len());
             continue;
         }
         for id in ids {
-            log::info!(target: "directory", "back_end={id} now={word} revision={revision}");
+            log::info!(target: "directory", "back_end={id} now={state} revision={revision}");
         }
     }
     router.on_vanished(&change.vanished);
--- a/crates/stacktack-direct/src/followers/mod.rs
+++ b/crates/stacktack-direct/src/followers/mod.rs
@@ -1,20 +1,19 @@
-//! Followers of the configuration and of the directory: when to ask again and
-//! what to believe.
+//! Background tasks that keep this router's state in line with the store and with its peers.
 //!
-//! Two ask the same store, so that what one of them learns of it counts for the other:
-//! how late it answers, and that it is back. A third asks peers that know more,
-//! a fourth reads drains of zones that the first passed over, a fifth keeps verdicts on requests
-//! that end back ends, a sixth learns of the other routers, a seventh writes the outcomes of
-//! roll-outs.
+//! The tasks that follow the configuration and the directory call the same store and share a
+//! [`StoreMonitor`]: what one of them learns about the store's latency and recovery counts for the
+//! other. Further tasks fetch from peers that know more, read zone drains that the configuration
+//! task missed, read and write verdicts on requests that crash back ends, discover the other
+//! routers, and write the outcomes of roll-outs.
 
+mod backoff;
 mod configuration;
 mod directory;
-mod looks;
-mod pause;
 mod peers;
+mod poll_schedule;
 mod rollouts;
 mod routers;
-mod start;
+mod start_delay;
 mod store_monitor;
 mod verdicts;
 mod zone_drains;
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -1,4 +1,4 @@
-//! Peers that know more: whom to ask, and when.
+//! Fetches from peers what this router lacks: which peer to ask, and when.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,77 +16,77 @@
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Time between looks at whether a peer knows more, where none says so.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks whether a peer knows more, while no gossip says so.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in which something of a peer's answer has to arrive. A peer that is silent
-/// longer is passed by while another one knows as much.
-const PEER_PATIENCE: Duration = Duration::from_millis(1100);
+/// Time without any byte after which a fetch from a peer fails. The peer is avoided while another
+/// one knows as much.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(1100);
 
-/// Learns from peers for ever what the store has not told. Configuration and directory
-/// are followed apart: a large document on a narrow link must not hold up the news that
-/// a back end leaves.
+/// Fetches from peers what this router has not read from the store. Never returns. Configuration
+/// and directory are fetched independently: a large document on a narrow link must not delay the
+/// departure of a back end.
 pub async fn fetch_from_peers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
-    let follower = |subject| PeerFollower {
+    let fetcher = |subject| PeerFetcher {
         router: router.clone(),
         source: source.clone(),
         subject,
-        passed_by: Vec::new(),
+        avoid: Vec::new(),
         behind_since: None,
     };
     tokio::join!(
-        follower(Subject::Configuration).follow(),
-        follower(Subject::Directory).follow()
+        fetcher(Subject::Configuration).run(),
+        fetcher(Subject::Directory).run()
     );
 }
 
-/// What a follower asks peers for.
+/// What a [`PeerFetcher`] asks peers for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Subject {
     Configuration,
     Directory,
 }
 
-/// Learns from peers about one subject.
-struct PeerFollower {
+/// Fetches one subject from peers.
+struct PeerFetcher {
     router: Rc<Router>,
     source: Rc<dyn PeerSource>,
     subject: Subject,
-    /// Peers that failed to answer, or had no room, when they were asked last.
-    passed_by: Vec<SocketAddr>,
-    /// Since when peers have known more without telling it.
+    /// Peers that failed to answer, or had no free capacity, when they were asked last.
+    avoid: Vec<SocketAddr>,
+    /// Since when peers have known more than this router without sending it.
     behind_since: Option<Time>,
 }
 
-impl PeerFollower {
-    async fn follow(mut self) {
+impl PeerFetcher {
+    async fn run(mut self) {
         let router = self.router.clone();
         loop {
             tokio::select! {
                 () = router.peer_knows_more.notified() => {}
-                () = sleep(LOOK) => {}
+                () = sleep(CHECK_INTERVAL) => {}
             }
-            self.note_behind();
-            while let Some(peer) = self.whom_to_ask() {
+            self.poll_store_if_behind();
+            while let Some(peer) = self.select_peer() {
                 if self.fetch(peer).await != Err(SourceError::NoCapacity) {
                     break;
                 }
-                self.wait_for_room().await;
+                self.wait_for_capacity().await;
             }
-            self.note_behind();
+            self.poll_store_if_behind();
         }
     }
 
-    /// Has the store asked where peers know more and none of them tells it in time. A router that starts
-    /// asks it after a time of its own.
-    fn note_behind(&mut self) {
-        if self.starts() {
+    /// Requests a poll of the store if peers have known more for too long and none of them has sent
+    /// it. A router that knows nothing yet calls the store after its start delay instead.
+    fn poll_store_if_behind(&mut self) {
+        if self.is_uninitialized() {
             self.behind_since = None;
             return;
         }
         let now = self.router.now();
-        self.behind_since = self.whom_to_ask().and(self.behind_since.or(Some(now)));
-        let (budget, look) = match self.subject {
+        self.behind_since = self.select_peer().and(self.behind_since.or(Some(now)));
+        let (budget, poll) = match self.subject {
             Subject::Configuration => (
                 self.router.configuration_budget(),
                 &self.router.configuration_look,
@@ -98,49 +98,52 @@
             .is_some_and(|since| now.since(since) >= budget.answer_timeout())
         {
             self.behind_since = Some(now);
-            look.notify_one();
+            poll.notify_one();
         }
     }
 
     /// Whether nothing is known of the subject.
-    fn starts(&self) -> bool {
+    fn is_uninitialized(&self) -> bool {
         match self.subject {
             Subject::Configuration => self.router.version() == 0,
             Subject::Directory => self.router.directory_revision() == 0,
         }
     }
 
-    fn whom_to_ask(&self) -> Option<SocketAddr> {
+    /// A peer that knows more than this router, if there is one; avoided peers only if there is no
+    /// other.
+    fn select_peer(&self) -> Option<SocketAddr> {
         let peers = self.router.peers.borrow();
         match self.subject {
             Subject::Configuration => {
-                peers.with_newer_configuration(self.router.version(), &self.passed_by)
+                peers.with_newer_configuration(self.router.version(), &self.avoid)
             }
             Subject::Directory => {
-                // Not what was heard: a departure that is held here may be decided there.
-                peers.with_newer_directory(self.router.directory_revision(), &self.passed_by)
+                // Not the newest revision heard: a removal that is pending here may be decided
+                // there.
+                peers.with_newer_directory(self.router.directory_revision(), &self.avoid)
             }
         }
     }
 
-    /// Waits until a peer of the own zone that was not asked yet may have room, or for the time between looks.
-    /// A copy from another zone is dearer than that.
-    async fn wait_for_room(&mut self) {
+    /// Waits until there is another peer in the own zone to ask, at most for the check interval. A
+    /// copy from another zone costs more than the wait.
+    async fn wait_for_capacity(&mut self) {
         let another = async {
-            while !self.knows_another_near() {
+            while !self.has_untried_peer_in_zone() {
                 self.router.peer_knows_more.notified().await;
             }
         };
-        if timeout(LOOK, another).await.is_err() {
-            let last = self.passed_by.pop();
-            self.passed_by = last.into_iter().collect();
+        if timeout(CHECK_INTERVAL, another).await.is_err() {
+            let last = self.avoid.pop();
+            self.avoid = last.into_iter().collect();
         }
     }
 
-    /// Whether a peer of the own zone that was not passed by knows more.
-    fn knows_another_near(&self) -> bool {
-        self.whom_to_ask().is_some_and(|peer| {
-            !self.passed_by.contains(&peer) && self.router.peers.borrow().is_in_own_zone(peer)
+    /// Whether a peer of the own zone knows more and is not avoided.
+    fn has_untried_peer_in_zone(&self) -> bool {
+        self.select_peer().is_some_and(|peer| {
+            !self.avoid.contains(&peer) && self.router.peers.borrow().is_in_own_zone(peer)
         })
     }
 
@@ -153,14 +156,14 @@
         };
         let call = self.source.knowledge(peer, known, transfer.clone());
         let near = self.router.peers.borrow().is_in_own_zone(peer);
-        let answer = with_idle_timeout(call, &transfer, PEER_PATIENCE).await;
+        let result = with_idle_timeout(call, &transfer, PEER_IDLE_TIMEOUT).await;
         let (bytes, ms) = (transfer.bytes(), transfer.elapsed().as_millis());
-        match answer {
+        match result {
             Ok(knowledge) => {
-                self.passed_by.clear();
+                self.avoid.clear();
                 if let Some(newer) = knowledge.configuration {
                     log::info!(target: "peers", "peer={peer} fetched=configuration near={near} bytes={bytes} ms={ms}");
-                    self.take_configuration(&newer);
+                    self.apply_configuration(&newer);
                 }
                 if let Some(delta) = knowledge.directory {
                     log::info!(
@@ -170,7 +173,7 @@
                         delta.whole,
                         delta.present.len() + delta.gone.len(),
                     );
-                    self.take_directory(delta);
+                    self.apply_directory(delta);
                 }
                 self.router.apply_peer_claims();
                 Ok(())
@@ -180,25 +183,25 @@
                     target: "peers",
                     "peer={peer} fetched=false cause=\"{error}\" bytes={bytes} ms={ms}"
                 );
-                self.pass_by(peer, error).await;
+                self.avoid_peer(peer, error).await;
                 Err(error)
             }
         }
     }
 
-    /// A peer told nothing.
-    async fn pass_by(&mut self, peer: SocketAddr, error: SourceError) {
+    /// Avoids a peer that failed to send anything.
+    async fn avoid_peer(&mut self, peer: SocketAddr, error: SourceError) {
         if error == SourceError::NoCapacity {
-            self.passed_by.push(peer);
+            self.avoid.push(peer);
             return;
         }
-        self.passed_by = vec![peer];
-        sleep(LOOK).await;
+        self.avoid = vec![peer];
+        sleep(CHECK_INTERVAL).await;
     }
 
-    /// Takes a configuration over, if the changes are from the version in force: the
-    /// store may have told a newer one since the peer was asked.
-    fn take_configuration(&self, newer: &[u8]) {
+    /// Adopts a configuration, unless it is a change from a version other than the one in force: a
+    /// newer version may have been read from the store since the peer was asked.
+    fn apply_configuration(&self, newer: &[u8]) {
         let newer = match serde_json::from_slice::<NewerConfiguration>(newer) {
             Ok(newer) => newer,
             Err(error) => {
@@ -218,7 +221,7 @@
         }
     }
 
-    fn take_directory(&self, delta: DirectoryDelta) {
+    fn apply_directory(&self, delta: DirectoryDelta) {
         if delta.revision > self.router.directory_revision() {
             let revision = delta.revision;
             apply_delta(&self.router, delta, revision, RemovalEvidence::PeerDecided);
--- a/crates/stacktack-direct/src/followers/rollouts.rs
+++ b/crates/stacktack-direct/src/followers/rollouts.rs
@@ -1,29 +1,29 @@
-//! Outcomes of roll-outs in the store: each is written under its condition by whichever router
-//! comes first, and learned by those that come after.
+//! Writes the outcomes of roll-outs to the store. Each write is conditional: the first router's
+//! write is stored, and the routers that come later learn the stored status from the conflict.
 
 use std::rc::Rc;
 
 use stacktack_core::direct::rollout::status::{StatusWrite, StatusWriteResult};
 use tokio::time::sleep;
 
-use super::pause::Pause;
+use super::backoff::Backoff;
 use super::store_monitor::StoreMonitor;
 use crate::ports::{RolloutStore, SourceError};
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Writes what is due, for ever.
+/// Writes statuses of roll-outs whenever some are due. Never returns.
 pub async fn write_rollout_statuses(
     router: Rc<Router>,
     source: Rc<dyn RolloutStore>,
     store: Rc<StoreMonitor>,
 ) {
-    let mut pause = Pause::new();
+    let mut backoff = Backoff::new();
     loop {
         router.rollout_write_due.notified().await;
         for write in router.rollout_writes() {
             match write_status(&router, source.as_ref(), &store, &write).await {
-                Ok(()) => pause.reset(),
+                Ok(()) => backoff.reset(),
                 Err(error) => {
                     log::info!(
                         target: "rollout",
@@ -31,7 +31,7 @@
                         write.service,
                         write.state.as_str(),
                     );
-                    sleep(pause.take(&router)).await;
+                    sleep(backoff.next_delay(&router)).await;
                 }
             }
         }
@@ -47,8 +47,8 @@
     router.metrics.count_store_call("rollout", "write");
     let transfer = Transfer::begin();
     let call = source.write_status(write, transfer.clone());
-    let end = with_idle_timeout(call, &transfer, store.patience(false)).await?;
-    let (stored, revision) = match &end {
+    let result = with_idle_timeout(call, &transfer, store.timeout(false)).await?;
+    let (stored, revision) = match &result {
         StatusWriteResult::Stored(revision) => (true, *revision),
         StatusWriteResult::Conflict { status, .. } => {
             (false, status.as_ref().map_or(0, |status| status.revision))
@@ -62,6 +62,6 @@
         write.state.as_str(),
         transfer.elapsed().as_millis(),
     );
-    router.on_rollout_write(write, &end);
+    router.on_rollout_write(write, &result);
     Ok(())
 }
--- a/crates/stacktack-direct/src/followers/routers.rs
+++ b/crates/stacktack-direct/src/followers/routers.rs
@@ -1,7 +1,7 @@
-//! The other routers: whole lists from peers, at the start and now and then.
+//! Discovers the other routers by fetching whole lists from peers, at the start and periodically.
 //!
-//! Datagrams tell a few addresses each, so that a router of a large fleet would know all others only
-//! after each address was told by chance: of 356 others 200 after 24 s. One list tells them at once.
+//! A gossip datagram carries only a few addresses, so that by gossip alone a router of a large
+//! fleet knew 200 of 356 others after 24 s. One list has all of them at once.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,34 +14,34 @@
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Routers that are asked for one list, where they do not answer.
-const TRIES: usize = 3;
+/// Maximum number of peers that are asked for one list while they fail to answer.
+const MAX_TRIES_PER_LIST: usize = 3;
 
-/// Pauses before the first lists, each give or take a half: where all start at once, those that
-/// everybody knows from the settings have heard all by then.
-const FIRST_PAUSES: [Duration; 3] = [
+/// Delays before the first lists, each with a jitter of 50 %. When all routers start at once, the
+/// seed routers have heard from all others by then.
+const INITIAL_DELAYS: [Duration; 3] = [
     Duration::from_millis(400),
     Duration::from_millis(800),
     Duration::from_millis(2000),
 ];
 
-/// Pause before each later list, give or take a half: a list of 714 routers is 6 kB.
-const LATER_PAUSE: Duration = Duration::from_secs(30);
+/// Delay before each later list, with a jitter of 50 %. A list of 714 routers is 6 kB.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Time in which something of a list has to arrive.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time without any byte after which a fetch of a list fails.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Learns of the other routers for ever.
+/// Fetches lists of the fleet's routers from peers. Never returns.
 pub async fn discover_routers(router: Rc<Router>, source: Rc<dyn PeerSource>) {
-    let later = std::iter::repeat(LATER_PAUSE);
-    for pause in FIRST_PAUSES.into_iter().chain(later) {
-        sleep(pause.mul_f64(rand::rng().random_range(0.5..=1.5))).await;
+    let later = std::iter::repeat(REFRESH_INTERVAL);
+    for delay in INITIAL_DELAYS.into_iter().chain(later) {
+        sleep(delay.mul_f64(rand::rng().random_range(0.5..=1.5))).await;
         let mut failed = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES_PER_LIST {
             let random = &mut rand::rng();
             let peer = router.peers.borrow().discovery_peer(failed, random);
             let Some(peer) = peer else { break };
-            failed = !learn_from(&router, source.as_ref(), peer).await;
+            failed = !fetch_list(&router, source.as_ref(), peer).await;
             if !failed {
                 break;
             }
@@ -49,11 +49,11 @@
     }
 }
 
-/// Takes a list from a peer; returns whether it told one.
-async fn learn_from(router: &Router, source: &dyn PeerSource, peer: SocketAddr) -> bool {
+/// Fetches a list from a peer and adds its addresses; returns whether the fetch succeeded.
+async fn fetch_list(router: &Router, source: &dyn PeerSource, peer: SocketAddr) -> bool {
     let transfer = Transfer::begin();
     let call = source.routers(peer, transfer.clone());
-    match with_idle_timeout(call, &transfer, PATIENCE).await {
+    match with_idle_timeout(call, &transfer, IDLE_TIMEOUT).await {
         Ok(routers) => {
             let (before, now) = {
                 let mut peers = router.peers.borrow_mut();
--- a/crates/stacktack-direct/src/followers/store_monitor.rs
+++ b/crates/stacktack-direct/src/followers/store_monitor.rs
@@ -1,4 +1,4 @@
-//! What is known of a store that followers ask.
+//! Availability and response latency of the store, shared by all tasks that call it.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -11,72 +11,74 @@
 
 use crate::ports::SourceError;
 
-/// The store as its followers see it; tells when it comes back.
+/// Tracks whether the store answers and how late, and notifies waiting tasks when it recovers.
 pub struct StoreMonitor {
     name: &'static str,
-    source: RefCell<DirectorySource>,
-    patience: Cell<AdaptiveTimeout>,
-    returned: Notify,
+    availability: RefCell<DirectorySource>,
+    timeout: Cell<AdaptiveTimeout>,
+    recovered: Notify,
 }
 
 impl StoreMonitor {
-    /// A dependency that is taken to answer.
+    /// Monitor of a store that is assumed to answer.
     pub fn new(name: &'static str) -> Result<Self, ChartError> {
         Ok(StoreMonitor {
             name,
-            source: RefCell::new(DirectorySource::new()?),
-            patience: Cell::default(),
-            returned: Notify::new(),
+            availability: RefCell::new(DirectorySource::new()?),
+            timeout: Cell::default(),
+            recovered: Notify::new(),
         })
     }
 
-    /// Lateness after which a call counts as unanswered.
-    pub(super) fn patience(&self, at_start: bool) -> Duration {
-        self.patience.get().timeout(at_start)
+    /// Lateness after which a call counts as unanswered. `at_start` selects the shorter minimum for
+    /// a router that knows nothing yet.
+    pub(super) fn timeout(&self, at_start: bool) -> Duration {
+        self.timeout.get().timeout(at_start)
     }
 
-    /// How late answers come, at most.
+    /// Largest recent lateness of responses, decaying with each response that is less late.
     pub(super) fn lateness(&self) -> Duration {
-        self.patience.get().lateness()
+        self.timeout.get().lateness()
     }
 
-    /// A call was answered so long after it was due.
-    pub(super) fn on_lateness(&self, lateness: Duration) {
-        let mut patience = self.patience.get();
-        patience.on_answer(lateness);
-        self.patience.set(patience);
+    /// Records how long after it was due a call was answered.
+    pub(super) fn record_lateness(&self, lateness: Duration) {
+        let mut timeout = self.timeout.get();
+        timeout.on_answer(lateness);
+        self.timeout.set(timeout);
     }
 
-    /// Waits for the store to come back.
-    pub(super) async fn returned(&self) {
-        self.returned.notified().await;
+    /// Waits until the store answers again after it was lost.
+    pub(super) async fn recovered(&self) {
+        self.recovered.notified().await;
     }
 
     pub(super) fn on_answer(&self, now: Time) {
-        if let Some(lost_for) = self.source.borrow_mut().on_answer(now) {
+        if let Some(lost_for) = self.availability.borrow_mut().on_answer(now) {
             log::info!(
                 target: "dependency",
                 "name={} regained=true after_ms={}",
                 self.name,
                 lost_for.as_millis()
             );
-            self.returned.notify_waiters();
+            self.recovered.notify_waiters();
         }
     }
 
     pub(super) fn on_failure(&self, now: Time, error: SourceError) {
-        if self.source.borrow_mut().on_failure(now) {
+        if self.availability.borrow_mut().on_failure(now) {
             log::warn!(target: "dependency", "name={} lost=true cause=\"{error}\"", self.name);
         }
     }
 
-    /// Whether it does not answer.
+    /// Whether the store does not answer.
     pub fn is_lost(&self) -> bool {
-        self.source.borrow().is_lost()
+        self.availability.borrow().is_lost()
     }
 
-    /// Whether it answers, and all that lives had time to renew its entry.
+    /// Whether the store answers and, since its last outage, all live back ends had time to renew
+    /// their entries.
     pub fn is_steady(&self, now: Time) -> bool {
-        self.source.borrow_mut().is_steady(now)
+        self.availability.borrow_mut().is_steady(now)
     }
 }
--- a/crates/stacktack-direct/src/followers/verdicts.rs
+++ b/crates/stacktack-direct/src/followers/verdicts.rs
@@ -1,5 +1,5 @@
-//! Verdicts on requests that end back ends, in the store: it tells routers that start when
-//! nobody is left to tell them, and operators lift a verdict there.
+//! Synchronizes verdicts on requests that crash back ends with the store. From the store a starting
+//! router learns verdicts that no peer has any more, and operators lift verdicts there.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,89 +10,99 @@
 use stacktack_core::time::Time;
 use tokio::time::sleep;
 
-use super::pause::Pause;
+use super::backoff::Backoff;
 use super::store_monitor::StoreMonitor;
 use crate::ports::{SourceError, VerdictStore};
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Time between looks at whether something is to be written or read.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks whether verdicts are to be written or read.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between reads of all verdicts, give or take a quarter: how soon one that an operator lifts
-/// is lifted, at one call a minute and router.
-const READ_AGAIN: Duration = Duration::from_secs(60);
+/// Time between two reads of all verdicts, with a jitter of 25 %. It bounds how long a verdict that
+/// an operator lifts stays in force, and costs one call per minute and router.
+const READ_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The same for each router of the fleet, so that a large one reads once a second together: whoever
-/// reads that a verdict is lifted tells the others.
-const READ_AGAIN_PER_ROUTER: Duration = Duration::from_secs(1);
+/// Minimum time between two reads, per router of the fleet, so that the routers of a large fleet
+/// together read once a second. A router that reads that a verdict is lifted gossips it to the
+/// others.
+const READ_INTERVAL_PER_ROUTER: Duration = Duration::from_secs(1);
 
-/// The same while most peers are silent: what they know comes over the store only. Twice as long after
-/// each read that fails: a router that is cut off from its peers is likely to be cut off from the store.
-const READ_ALONE: Duration = Duration::from_secs(1);
-const LONGEST_READ_ALONE: Duration = Duration::from_secs(8);
+/// Time between two reads while most peers are silent: what they know then comes only through the
+/// store. It doubles with each failed read: a router that is cut off from its peers is likely to be
+/// cut off from the store.
+const ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Writes and reads verdicts, for ever.
+/// Maximum time between two reads while most peers are silent.
+const MAX_ISOLATED_READ_INTERVAL: Duration = Duration::from_secs(8);
+
+/// Writes this router's verdicts to the store and reads those of the others. Never returns.
 pub async fn sync_verdicts(
     router: Rc<Router>,
     source: Rc<dyn VerdictStore>,
     store: Rc<StoreMonitor>,
 ) {
-    let mut follower = VerdictFollower {
+    let mut sync = VerdictSync {
         router,
         source,
         store,
         read_due: Time(0),
         last_read: Time(0),
         failed_reads: 0,
-        pause: Pause::new(),
+        backoff: Backoff::new(),
     };
     loop {
-        let done = follower.step().await;
-        let pause = match done {
+        let result = sync.step().await;
+        let delay = match result {
             Ok(()) => {
-                follower.pause.reset();
-                LOOK
+                sync.backoff.reset();
+                CHECK_INTERVAL
             }
             Err(error) => {
                 log::info!(target: "quarantine", "store=failed cause=\"{error}\"");
-                follower.pause.take(&follower.router)
+                sync.backoff.next_delay(&sync.router)
             }
         };
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
 
-struct VerdictFollower {
+/// State of the task that synchronizes verdicts.
+struct VerdictSync {
     router: Rc<Router>,
     source: Rc<dyn VerdictStore>,
     store: Rc<StoreMonitor>,
-    /// When to read again.
+    /// When the next regular read is due.
     read_due: Time,
-    /// When the last read began.
+    /// Start of the last successful read, or time of the last failed read while most peers were
+    /// silent.
     last_read: Time,
-    /// Reads that failed since the last one that did not.
+    /// Failed reads, while most peers were silent, since the last successful read.
     failed_reads: u32,
-    pause: Pause,
+    backoff: Backoff,
 }
 
-impl VerdictFollower {
+impl VerdictSync {
     async fn step(&mut self) -> Result<(), SourceError> {
         self.write().await?;
         let now = self.router.now();
-        let alone = self.router.peers.borrow().lost_most_peers();
-        let read_alone = doubled(READ_ALONE, self.failed_reads, LONGEST_READ_ALONE);
-        let due_alone = alone && now.since(self.last_read) >= read_alone;
+        let is_isolated = self.router.peers.borrow().lost_most_peers();
+        let isolated_interval = doubled(
+            ISOLATED_READ_INTERVAL,
+            self.failed_reads,
+            MAX_ISOLATED_READ_INTERVAL,
+        );
+        let isolated_read_due = is_isolated && now.since(self.last_read) >= isolated_interval;
         if now >= self.read_due {
             return self.read(now).await;
         }
-        if due_alone {
-            let read = self.read(now).await;
-            if read.is_err() {
+        if isolated_read_due {
+            let result = self.read(now).await;
+            if result.is_err() {
                 self.failed_reads += 1;
                 self.last_read = now;
             }
-            return read;
+            return result;
         }
         Ok(())
     }
@@ -113,7 +123,7 @@
         let call = self
             .source
             .change_verdicts(&stored, &dropped, transfer.clone());
-        with_idle_timeout(call, &transfer, self.store.patience(false)).await?;
+        with_idle_timeout(call, &transfer, self.store.timeout(false)).await?;
         log::info!(
             target: "quarantine",
             "store=written verdicts={} dropped={} ms={}",
@@ -127,14 +137,14 @@
         Ok(())
     }
 
-    async fn read(&mut self, begun: Time) -> Result<(), SourceError> {
+    async fn read(&mut self, started_at: Time) -> Result<(), SourceError> {
         self.router.metrics.count_store_call("verdicts", "read");
         let transfer = Transfer::begin();
         let call = self.source.verdicts(transfer.clone());
-        let verdicts = with_idle_timeout(call, &transfer, self.store.patience(false)).await?;
+        let verdicts = with_idle_timeout(call, &transfer, self.store.timeout(false)).await?;
         let now = self.router.now();
         let mut quarantine = self.router.quarantine.borrow_mut();
-        let changes: Vec<TreatmentChange> = quarantine.apply_stored(&verdicts, begun, now);
+        let changes: Vec<TreatmentChange> = quarantine.apply_stored(&verdicts, started_at, now);
         drop(quarantine);
         log::info!(
             target: "quarantine",
@@ -146,7 +156,7 @@
         for change in changes {
             self.router.note_treatment(Some(change), "store");
         }
-        self.last_read = begun;
+        self.last_read = started_at;
         self.failed_reads = 0;
         self.read_due = now + self.until_next_read();
         Ok(())
@@ -154,8 +164,8 @@
 
     fn until_next_read(&self) -> Duration {
         let routers = self.router.peers.borrow().known_routers();
-        let of_fleet = READ_AGAIN_PER_ROUTER.mul_f64(routers as f64);
-        let spread = rand::rng().random_range(0.75..=1.25);
-        READ_AGAIN.max(of_fleet).mul_f64(spread)
+        let fleet_interval = READ_INTERVAL_PER_ROUTER.mul_f64(routers as f64);
+        let jitter = rand::rng().random_range(0.75..=1.25);
+        READ_INTERVAL.max(fleet_interval).mul_f64(jitter)
     }
 }
--- a/crates/stacktack-direct/src/followers/zone_drains.rs
+++ b/crates/stacktack-direct/src/followers/zone_drains.rs
@@ -1,52 +1,58 @@
-//! Drains of zones that were passed over: whoever has followed peers and goes on from the
-//! version that they told reads what the operator asked of zones meanwhile apart, some
-//! hundred bytes in place of the whole configuration; the same for orders to roll out versions,
-//! where they are served.
+//! Reads zone drains that the configuration task missed.
+//!
+//! A router that was updated by peers and continues to read after the revision that they reported
+//! skips the operator's zone drains in between. It reads all drains separately, some hundred bytes
+//! instead of the whole configuration. The same holds for roll-out orders, where roll-outs are
+//! served.
 
 use std::rc::Rc;
 
 use tokio::time::sleep;
 
-use super::pause::Pause;
+use super::backoff::Backoff;
 use super::store_monitor::StoreMonitor;
 use crate::ports::ConfigurationSource;
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Reads the drains of zones whenever some may have been missed, for ever.
+/// Reads all zone drains and roll-out orders whenever some may have been missed. Never returns.
 pub async fn read_missed_zone_drains(
     router: Rc<Router>,
     source: Rc<dyn ConfigurationSource>,
     store: Rc<StoreMonitor>,
 ) {
-    let mut pause = Pause::new();
+    let mut backoff = Backoff::new();
     loop {
         router.zone_drains_missed.notified().await;
-        while !read(&router, source.as_ref(), &store).await {
-            sleep(pause.take(&router)).await;
+        while !read_drains(&router, source.as_ref(), &store).await {
+            sleep(backoff.next_delay(&router)).await;
         }
         while !read_orders(&router, source.as_ref(), &store).await {
-            sleep(pause.take(&router)).await;
+            sleep(backoff.next_delay(&router)).await;
         }
-        pause.reset();
+        backoff.reset();
     }
 }
 
-/// Reads them once; returns whether the store answered.
-async fn read(router: &Router, source: &dyn ConfigurationSource, store: &StoreMonitor) -> bool {
+/// Reads all zone drains once; returns whether the store answered.
+async fn read_drains(
+    router: &Router,
+    source: &dyn ConfigurationSource,
+    store: &StoreMonitor,
+) -> bool {
     router.metrics.count_store_call("zone_drains", "missed");
     let transfer = Transfer::begin();
     let call = source.zone_drains(transfer.clone());
-    match with_idle_timeout(call, &transfer, store.patience(false)).await {
-        Ok(news) => {
+    match with_idle_timeout(call, &transfer, store.timeout(false)).await {
+        Ok(update) => {
             log::info!(
                 target: "zone_drain",
                 "read=store revision={} drained={} ms={}",
-                news.snapshot_revision.unwrap_or(0),
-                news.changes.len(),
+                update.snapshot_revision.unwrap_or(0),
+                update.changes.len(),
                 transfer.elapsed().as_millis(),
             );
-            router.take_zone_drain_news(&news);
+            router.take_zone_drain_news(&update);
             true
         }
         Err(error) => {
@@ -60,7 +66,7 @@
     }
 }
 
-/// Reads orders to roll out versions once; returns whether the store answered.
+/// Reads all roll-out orders once; returns whether the store answered.
 async fn read_orders(
     router: &Router,
     source: &dyn ConfigurationSource,
@@ -72,9 +78,9 @@
     router.metrics.count_store_call("rollout", "missed");
     let transfer = Transfer::begin();
     let call = source.rollout_orders(transfer.clone());
-    match with_idle_timeout(call, &transfer, store.patience(false)).await {
-        Ok(news) => {
-            router.take_rollout_orders(&news);
+    match with_idle_timeout(call, &transfer, store.timeout(false)).await {
+        Ok(update) => {
+            router.take_rollout_orders(&update);
             true
         }
         Err(error) => {
--- a/crates/stacktack-direct/src/freshness.rs
+++ b/crates/stacktack-direct/src/freshness.rs
@@ -1,4 +1,5 @@
-//! How new what this router knows of its sources is, by its own reads and by what peers tell.
+//! Freshness of what this router knows of its sources, from its own reads and from what peers
+//! report.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,30 +13,31 @@
 
 use crate::router::Router;
 
-/// Share of the time that a router watches a source by which an answer has to be newer than the last one
-/// for it to be pushed to others.
-const WORTH_TELLING: f64 = 0.1;
+/// Minimum advance of an answer over the last one for it to be pushed to peers at once, as a
+/// fraction of the watch period.
+const MIN_PUSH_ADVANCE: f64 = 0.1;
 
-/// How new what is known of one source is.
+/// What this router knows about the freshness of one source.
 #[derive(Debug, Default)]
 pub(crate) struct SourceKnowledge {
     freshness: Cell<Freshness>,
-    /// Revision of the store up to which the source is known; 0 for none.
+    /// Revision of the store up to which this router knows the source; 0 for none.
     read_at: Cell<u64>,
-    /// What a peer told of knowledge that this router did not have then.
-    claim: Cell<Option<Claim>>,
+    /// Claim of a peer about a revision that this router did not have when the claim arrived.
+    claim: Cell<Option<PeerClaim>>,
 }
 
-/// A peer knows the source up to a revision, which was all that there was at a time.
+/// Claim of a peer that it knows the source up to a revision, and that the source held nothing
+/// newer at a time.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct PeerClaim {
     revision: u64,
     as_of: Option<Time>,
     read: SourceRead,
 }
 
 impl SourceKnowledge {
-    /// Time up to which the source is known; `None` while nothing is.
+    /// Time up to which the source is known; `None` while nothing is known.
     pub(crate) fn as_of(&self) -> Option<Time> {
         self.freshness.get().as_of()
     }
@@ -45,60 +47,82 @@
         Some(self.read_at.get()).filter(|read_at| *read_at > 0)
     }
 
-    /// The source was read up to a revision of the store.
-    pub(crate) fn note_read(&self, revision: u64) {
+    /// Records that the source is known up to a revision of the store.
+    pub(crate) fn record_read(&self, revision: u64) {
         self.read_at.set(self.read_at.get().max(revision));
     }
 
-    /// The store has forgotten what came after the last read.
+    /// Makes the next read a snapshot, because the store no longer has the changes after the last
+    /// read.
     pub(crate) fn forget_read(&self) {
         self.read_at.set(0);
     }
 
-    /// How new it is.
     pub(crate) fn freshness(&self) -> Freshness {
         self.freshness.get()
     }
 
-    fn note(&self, as_of: Time, told_at: u64, budget: &StalenessBudget, now: Time) -> bool {
+    /// Records an answer; returns whether it is enough newer than the last one to be pushed to
+    /// peers.
+    fn record(
+        &self,
+        as_of: Time,
+        answered_at_ms: u64,
+        budget: &StalenessBudget,
+        now: Time,
+    ) -> bool {
         let mut freshness = self.freshness.get();
-        let newer_by = freshness.record_answer(as_of, told_at, budget.gap_threshold(), now);
+        let newer_by = freshness.record_answer(as_of, answered_at_ms, budget.gap_threshold(), now);
         self.freshness.set(freshness);
-        let worth_telling = budget.watch_period().mul_f64(WORTH_TELLING);
-        newer_by.is_some_and(|newer_by| newer_by >= worth_telling)
+        let min_advance = budget.watch_period().mul_f64(MIN_PUSH_ADVANCE);
+        newer_by.is_some_and(|newer_by| newer_by >= min_advance)
     }
 
-    /// When an own answer that is not noted yet counts as made. It is newer than all before, also where the
-    /// clock of the source stands still or was set back.
-    pub(crate) fn own_told_at(&self, told_at: u64) -> u64 {
-        told_at.max(self.freshness.get().answered_at_ms() + 1)
+    /// Time of an answer to this router that is not yet recorded, in milliseconds. It is later than
+    /// that of all recorded answers, also if the clock of the source stands still or was set back.
+    pub(crate) fn own_answered_at_ms(&self, answered_at_ms: u64) -> u64 {
+        answered_at_ms.max(self.freshness.get().answered_at_ms() + 1)
     }
 
-    /// An own answer came.
-    fn note_own(&self, age: Duration, told_at: u64, budget: &StalenessBudget, now: Time) -> bool {
-        let told_at = self.own_told_at(told_at);
-        self.note(now - age, told_at, budget, now)
+    /// Records an answer to this router itself.
+    fn record_own(
+        &self,
+        age: Duration,
+        answered_at_ms: u64,
+        budget: &StalenessBudget,
+        now: Time,
+    ) -> bool {
+        let answered_at_ms = self.own_answered_at_ms(answered_at_ms);
+        self.record(now - age, answered_at_ms, budget, now)
     }
 
-    /// Takes what a peer tells, if this router knows as much; keeps it for when it does.
-    fn take(&self, claim: Claim, known: u64, budget: &StalenessBudget, now: Time) -> bool {
-        // An empty directory has no revision, and may be known all the same.
-        let says_nothing = claim.revision == 0 && claim.as_of.is_none();
-        if says_nothing || claim.revision < known {
+    /// Applies a claim of a peer if this router knows the same revision, and keeps a claim about a
+    /// newer revision until this router knows that. Returns whether the claim is enough newer than
+    /// the last answer to be pushed to peers.
+    fn apply_claim(
+        &self,
+        claim: PeerClaim,
+        known: u64,
+        budget: &StalenessBudget,
+        now: Time,
+    ) -> bool {
+        // Revision 0 with a time is a claim about an empty directory.
+        let is_empty = claim.revision == 0 && claim.as_of.is_none();
+        if is_empty || claim.revision < known {
             return false;
         }
         if claim.revision > known {
             self.claim.set(Some(claim));
             return false;
         }
-        self.note_read(claim.read.revision);
-        let told_at = claim.read.answered_at_ms;
-        let as_of = claim.as_of.filter(|_| told_at > 0);
-        as_of.is_some_and(|as_of| self.note(as_of, told_at, budget, now))
+        self.record_read(claim.read.revision);
+        let answered_at_ms = claim.read.answered_at_ms;
+        let as_of = claim.as_of.filter(|_| answered_at_ms > 0);
+        as_of.is_some_and(|as_of| self.record(as_of, answered_at_ms, budget, now))
     }
 
-    /// The last answer, to tell peers.
-    fn read(&self) -> SourceRead {
+    /// The last answer, as sent to peers.
+    fn last_answer(&self) -> SourceRead {
         SourceRead {
             revision: self.read_at.get(),
             answered_at_ms: self.freshness.get().answered_at_ms(),
@@ -106,7 +130,7 @@
     }
 }
 
-/// How new what is known of each source is.
+/// What this router knows about the freshness of each source.
 #[derive(Debug, Default)]
 pub(crate) struct SourcesKnowledge {
     pub(crate) directory: SourceKnowledge,
@@ -114,22 +138,22 @@
 }
 
 impl Router {
-    /// What is known of the directory was all that it held so long ago, or later, as an answer made at
-    /// `told_at` on the clock of its store showed.
-    pub(crate) fn record_directory_age(&self, age: Duration, told_at: u64) {
+    /// Records that this router knows all that the directory held `age` ago or later, as shown by an
+    /// answer made at `answered_at_ms` on the clock of the store.
+    pub(crate) fn record_directory_age(&self, age: Duration, answered_at_ms: u64) {
         let now = self.now();
         let directory = &self.freshness.directory;
-        if directory.note_own(age, told_at, &self.directory_budget(), now) {
+        if directory.record_own(age, answered_at_ms, &self.directory_budget(), now) {
             self.push_due.notify_one();
         }
     }
 
-    /// What is known of the configuration was all that there was so long ago, or later, as an answer made
-    /// at `told_at` on the clock of its store showed.
-    pub(crate) fn record_configuration_age(&self, age: Duration, told_at: u64) {
+    /// Records that this router knows the configuration as it was `age` ago or later, as shown by an
+    /// answer made at `answered_at_ms` on the clock of the store.
+    pub(crate) fn record_configuration_age(&self, age: Duration, answered_at_ms: u64) {
         let now = self.now();
         let configuration = &self.freshness.configuration;
-        if configuration.note_own(age, told_at, &self.configuration_budget(), now) {
+        if configuration.record_own(age, answered_at_ms, &self.configuration_budget(), now) {
             self.push_due.notify_one();
         }
     }
@@ -144,96 +168,97 @@
         self.freshness.configuration.freshness.get().age(self.now())
     }
 
-    /// Whether some router got an answer about the directory at all times of late: whatever lives has
-    /// renewed its entry.
+    /// Whether no gap in the answers about the directory, to this router or its peers, ended within
+    /// the renewal period, so that all live back ends have renewed their entries.
     pub(crate) fn directory_had_no_gap(&self) -> bool {
         let freshness = self.freshness.directory.freshness.get();
         !freshness.had_gap_within(RENEWAL_PERIOD, self.now())
     }
 
-    /// Whether answers about the directory come all the time, to this router or to others.
+    /// Whether answers about the directory keep coming, to this router or to its peers.
     pub(crate) fn directory_is_watched(&self) -> bool {
         let budget = self.directory_budget();
         let age = self.directory_age();
         age.is_some_and(|age| budget.is_watched(age)) && self.directory_had_no_gap()
     }
 
-    /// The time in which a departure has to be acted upon.
+    /// Budget of the time within which a departure has to be acted upon.
     pub(crate) fn directory_budget(&self) -> StalenessBudget {
         StalenessBudget::new(self.bounds().drain_timeout)
     }
 
-    /// The time in which a configuration has to be acted upon.
+    /// Budget of the time within which a configuration has to be in force.
     pub(crate) fn configuration_budget(&self) -> StalenessBudget {
         StalenessBudget::new(self.bounds().config_apply)
     }
 
-    /// Ages to tell peers.
+    /// Ages of this router's knowledge, as sent to peers.
     pub fn source_ages(&self) -> SourceAges {
-        // While a departure is held, more than what is told as known has been heard.
-        let decided = self.held_departures.borrow().is_empty();
-        let directory = self.directory_age().filter(|_| decided);
+        // While removals are pending, the revision that is sent is older than the newest one heard,
+        // and the age does not apply to it.
+        let none_pending = self.held_departures.borrow().is_empty();
+        let directory = self.directory_age().filter(|_| none_pending);
         SourceAges {
             directory: directory.and_then(EncodedAge::new),
             configuration: self.configuration_age().and_then(EncodedAge::new),
         }
     }
 
-    /// The last answers of the store, to tell peers.
+    /// The last answers of the store, as sent to peers.
     pub fn source_reads(&self) -> SourceReads {
-        let decided = self.held_departures.borrow().is_empty();
-        let directory = decided.then(|| self.freshness.directory.read());
+        let none_pending = self.held_departures.borrow().is_empty();
+        let directory = none_pending.then(|| self.freshness.directory.last_answer());
         SourceReads {
             directory: directory.unwrap_or_default(),
-            configuration: self.freshness.configuration.read(),
+            configuration: self.freshness.configuration.last_answer(),
         }
     }
 
-    /// Takes how new a peer's knowledge is, where this router knows the same: more than that
-    /// has to be fetched first, and less says nothing.
-    pub fn apply_source_ages(&self, news: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
+    /// Applies the ages of a peer's knowledge where this router knows the same revision. A newer
+    /// revision has to be fetched first, and an older one says nothing.
+    pub fn apply_source_ages(&self, gossip: &PeerGossip, ages: &SourceAges, reads: &SourceReads) {
         let now = self.now();
-        let as_of = |told: Option<EncodedAge>| told.map(|told| now - told.age());
+        let as_of = |age: Option<EncodedAge>| age.map(|age| now - age.age());
         if self.held_departures.borrow().is_empty() {
-            let claim = Claim {
-                revision: news.directory,
+            let claim = PeerClaim {
+                revision: gossip.directory,
                 as_of: as_of(ages.directory),
                 read: reads.directory,
             };
-            self.take_directory_claim(claim);
+            self.apply_directory_claim(claim);
         }
-        if news.configuration > 0 {
-            self.take_configuration_claim(Claim {
-                revision: news.configuration,
+        if gossip.configuration > 0 {
+            self.apply_configuration_claim(PeerClaim {
+                revision: gossip.configuration,
                 as_of: as_of(ages.configuration),
                 read: reads.configuration,
             });
         }
     }
 
-    fn take_directory_claim(&self, claim: Claim) {
+    fn apply_directory_claim(&self, claim: PeerClaim) {
         let (known, budget) = (self.directory_revision(), self.directory_budget());
         let directory = &self.freshness.directory;
-        if directory.take(claim, known, &budget, self.now()) {
+        if directory.apply_claim(claim, known, &budget, self.now()) {
             self.push_due.notify_one();
         }
     }
 
-    fn take_configuration_claim(&self, claim: Claim) {
+    fn apply_configuration_claim(&self, claim: PeerClaim) {
         let (known, budget) = (self.version(), self.configuration_budget());
         let configuration = &self.freshness.configuration;
-        if configuration.take(claim, known, &budget, self.now()) {
+        if configuration.apply_claim(claim, known, &budget, self.now()) {
             self.push_due.notify_one();
         }
     }
 
-    /// Knowledge was fetched: what a peer told of it before holds now.
+    /// Applies the claims of peers that were waiting for a fetch.
     pub(crate) fn apply_peer_claims(&self) {
         if let Some(claim) = self.freshness.directory.claim.get() {
-            self.take_directory_claim(claim);
+            self.apply_directory_claim(claim);
         }
         if let Some(claim) = self.freshness.configuration.claim.get() {
-            self.take_configuration_claim(claim);
+            self.apply_configuration_claim(claim);
         }
     }
 
@@ -243,8 +268,8 @@
             .map_or_else(|| "-".to_owned(), |age| age.as_millis().to_string())
     }
 
-    /// Says so when a departure may have been missed for longer than back ends that leave may
-    /// get requests.
+    /// Logs a warning when departures may have been missed for longer than the drain timeout,
+    /// within which leaving back ends have to stop getting new requests.
     pub fn log_stale_directory(&self) {
         let Some(age) = self.directory_age() else {
             return;
--- a/crates/stacktack-direct/src/lib.rs
+++ b/crates/stacktack-direct/src/lib.rs
@@ -1,23 +1,26 @@
-//! The direct router: a caller's request is forwarded straight to a back end
-//! that has no agent beside it.
+//! The direct router: forwards a caller's request straight to a back end that has no agent beside
+//! it.
 //!
-//! Decisions are in [`stacktack_core::direct`]; this crate carries them out
-//! over HTTP connections that it controls one by one, since what a connection
-//! did decides what is certain about a request. It knows no names of the
-//! platform that it runs on: those come through [`ports`].
+//! Decisions are in [`stacktack_core::direct`]. This crate carries them out over HTTP connections
+//! that it controls one by one, since what happened on a connection decides what is certain about a
+//! request. The crate has no names of the platform that it runs on: those come through [`ports`].
 //!
-//! - [`ports`]: what an adapter supplies.
-//! - [`app`]: start and signals; `stopping`: the end after a stop signal.
-//! - `server`: callers' connections. `connection`: back-end connections.
-//! - `admission`, `exchange`, `sending`, `candidates`, `choice`, `attempt`: one request from
-//!   head to end; `room`: whether its pool and the router take it; `silence`: whether an attempt
-//!   is left for another one; `back_end_end`: whether what broke an attempt was the end of its back
-//!   end; `quarantine`: requests that end back ends; [`rollouts`]: versions that are rolled out.
-//!   `held`, `respond`, `answer`, `unread`: answers on their way to callers.
-//! - [`followers`]: configuration and directory. `news`, [`datagram`]: what routers tell each
-//!   other; [`knowledge`]: what they hand to each other. [`calls`] and
-//!   [`transfer`]: calls under way and how far their answers have come. [`router`]: state of the process; `counted`: counts of what is under way; `zone_drains`: zones that get nothing;
-//!   [`clock`], `suspension`: its time, and what a suspension of its machine changes.
+//! - Process: [`app`] has start and signals, `stopping` the graceful shutdown, [`router`] the state
+//!   of the process, [`settings`] its settings, `counted` counts of what is in flight. [`clock`]
+//!   and `suspension` have its time and the effects of a suspension of its machine.
+//! - Interfaces: [`ports`] has what a platform adapter supplies.
+//! - Connections: `server` serves callers' connections, `connection` and [`client`] connections to
+//!   back ends.
+//! - One request: `admission`, `exchange`, `sending`, `candidates`, `choice` and `attempt` take it
+//!   from its head to its end. `room` decides on admission to its pool, `silence` whether a silent
+//!   attempt is abandoned for another one, and `back_end_end` whether an interrupted attempt was a
+//!   crash of its back end. `quarantine` handles requests that crash back ends, [`rollouts`]
+//!   versions that are rolled out, and `zone_drains` zones that get no requests. `held`, `respond`,
+//!   `answer` and `unread` return responses to callers.
+//! - State from elsewhere: [`followers`] keep configuration, directory and verdicts current, and
+//!   `freshness` tracks how new they are. [`calls`] and [`transfer`] track calls in flight and the
+//!   progress of their responses. `news` and [`datagram`] exchange gossip with other routers, and
+//!   [`knowledge`] sends them configuration and directory on request.
 
 mod admission;
 mod answer;
--- a/crates/stacktack-direct/src/ports.rs
+++ b/crates/stacktack-direct/src/ports.rs
@@ -1,8 +1,8 @@
-//! What an adapter supplies: protocols towards callers and back ends, the
-//! source of the configuration and the directory of back ends.
+//! Interfaces that a platform adapter implements: protocols to callers and back ends, the source of
+//! the configuration, the directory of back ends, and the stores of verdicts and roll-outs.
 //!
-//! Each port translates one message or makes one call. When to call again,
-//! what to believe and what to do about a failure is decided by the router.
+//! Each method translates one message or makes one call. The router decides when to call again, how
+//! far to trust a response, and how to handle a failure.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,98 +25,100 @@
 pub use crate::source_error::SourceError;
 use crate::transfer::Transfer;
 
-/// What a caller's request says beside its method, path and body.
+/// Metadata of a caller's request, beside its method, path and body.
 #[derive(Clone, Debug, Default)]
 pub struct CallerRequest {
-    /// Id of this attempt of the caller's.
+    /// Id of the caller's attempt.
     pub id: Option<String>,
-    /// Time that the caller will wait.
+    /// Time for which the caller waits for its response.
     pub timeout: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The parts of the prompt.
+    /// Parts of the prompt.
     pub prompt: PromptChain,
-    /// Event after which a stream is to be continued.
+    /// Id of the event after which a stream is to be resumed.
     pub resume_after: Option<String>,
 }
 
-/// What a router tells a back end beside the caller's request.
+/// Metadata that a router adds to a request for a back end.
 #[derive(Clone, Debug)]
 pub struct ForwardMetadata<'a> {
-    /// Id of the life of the back end that is meant.
+    /// Id of the back-end instance that is meant.
     pub instance: &'a str,
-    /// Time that remains.
+    /// Time that remains until the request's deadline.
     pub remaining: Duration,
-    /// Tenant that the caller's key belongs to.
+    /// Tenant of the caller's API key.
     pub tenant: Option<&'a str>,
-    /// Event after which the stream is to be continued.
+    /// Id of the event after which the stream is to be resumed.
     pub resume_after: Option<&'a str>,
     /// Back end from which cached prompt parts are to be copied first.
     pub fetch_from: Option<SocketAddr>,
-    /// Rank among the requests at the back end; 0 is the most urgent.
+    /// Priority among the requests at the back end; 0 is the highest.
     pub priority: u8,
 }
 
-/// Load that a back end reports in its answers.
+/// Load that a back end reports in its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
     /// Requests that can run at once.
     pub slots: u32,
-    /// How long work takes there, if told.
+    /// Time that work takes there relative to the usual time, if reported.
     pub work_time: Option<WorkTimeFactor>,
 }
 
-/// What the head of a back end's answer says.
+/// Metadata of a back end's response head.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndResponseHead {
-    /// Id of the request that it answers.
+    /// Id of the attempt that the response belongs to.
     pub id: Option<String>,
-    /// The back end says that it did not run the request.
+    /// Whether the back end says that it did not run the request.
     pub not_run: bool,
-    /// The address belongs to another instance.
+    /// Whether the address belongs to another instance.
     pub other_instance: bool,
-    /// Load, if told.
+    /// Load, if reported.
     pub load: Option<ReportedLoad>,
-    /// Seconds that the connection may rest, if told.
+    /// Keep-alive timeout of the connection, if reported.
     pub keep_alive_seconds: Option<u64>,
 }
 
-/// Why a router answers a request itself.
+/// Why a router refuses a request or answers it with an error of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalKind {
-    /// No route serves host and path.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// No key, or an unknown one.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The head lacks what it must have.
+    /// The request head lacks a required part.
     Malformed,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The router knows no configuration yet.
+    /// The router has no configuration yet.
     NotReady,
-    /// The router is about to end.
+    /// The router is stopping.
     Stopping,
-    /// No back end can take the request now.
+    /// No back end can accept the request now.
     NoBackEnd,
-    /// All back ends that could take the request are in zones that are drained.
+    /// All back ends that could accept the request are in drained zones.
     Drained,
     /// All back ends of the pool are full.
     Busy,
-    /// Back ends ended under it again and again; it goes to none any more.
+    /// Back ends crashed repeatedly while they ran the request; it is set aside and sent to none any
+    /// more.
     SetAside,
-    /// Back ends ended under it, and none that may try it can do so now.
+    /// Back ends crashed while they ran the request; it is on probation, and no back end that may
+    /// try it can do so now.
     OnProbation,
-    /// Back ends refused it; it did not run.
+    /// Back ends rejected the request; it did not run.
     Rejected,
-    /// It may have run and its answer is lost.
+    /// The request may have run, and its response is lost.
     Lost,
-    /// The time that it had is over.
+    /// The request's deadline has passed; it may have run.
     DeadlineExceeded,
 }
 
@@ -126,13 +128,13 @@
         !matches!(self, RefusalKind::Lost | RefusalKind::DeadlineExceeded)
     }
 
-    /// Whether it helps to come back: not where it is uncertain whether the request ran, nor
-    /// where it is not going to.
+    /// Whether the caller may come back with the request: false if it is uncertain whether the
+    /// request ran, and if it is set aside.
     pub fn caller_may_return(self) -> bool {
         self.proves_not_run() && self != RefusalKind::SetAside
     }
 
-    /// Fixed word for logs and metrics.
+    /// Fixed text for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalKind::NoRoute => "no_route",
@@ -154,57 +156,58 @@
     }
 }
 
-/// A router's own answer to a request.
+/// A router's own response to a request that it does not serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub kind: RefusalKind,
-    /// When to come back, for requests that did not run.
+    /// Time after which the caller may come back, for a request that did not run.
     pub retry_after: Option<Duration>,
 }
 
-/// The protocols towards callers and back ends.
+/// Protocols to callers and back ends.
 pub trait Protocol {
     /// Reads a caller's request head.
     fn read_request(&self, head: &request::Parts) -> CallerRequest;
 
-    /// Headers of the request as a back end gets it.
-    fn forward_headers(&self, caller: &HeaderMap, order: &ForwardMetadata<'_>) -> HeaderMap;
+    /// Headers of the request that a back end receives.
+    fn forward_headers(&self, caller: &HeaderMap, metadata: &ForwardMetadata<'_>) -> HeaderMap;
 
-    /// Reads the head of a back end's answer.
+    /// Reads the head of a back end's response.
     fn read_response(&self, head: &response::Parts) -> BackEndResponseHead;
 
-    /// Whether a status tells a caller that its request did not run and is not going to.
+    /// Whether a status tells a caller that its request did not run and will not run.
     fn proves_not_run(&self, status: StatusCode) -> bool;
 
-    /// Headers of a back end's answer as the caller gets it.
+    /// Headers of a back end's response that the caller receives.
     fn response_headers(&self, back_end: &HeaderMap) -> HeaderMap;
 
-    /// A router's own answer.
+    /// The response for a refusal, with the id of the caller's attempt.
     fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> Response<Bytes>;
 }
 
-/// News of the configuration.
+/// Response to one read of the configuration.
 #[derive(Debug)]
 pub struct ConfigurationUpdate {
-    /// Revision up to which the news is complete.
+    /// Revision up to which the update is complete.
     pub revision: u64,
-    /// When the answer was made, in milliseconds on the clock of the source; 0 if it does not tell.
+    /// When the response was made, in milliseconds on the clock of the source; 0 if it does not
+    /// report a time.
     pub answered_at_ms: u64,
-    /// Versions that the answer held.
+    /// Number of versions in the response.
     pub version_count: usize,
-    /// The newest configuration, if there is news of it.
+    /// The newest configuration, if the response holds one that is valid.
     pub configuration: Option<TrafficConfiguration>,
-    /// Whether a configuration was there that is not valid.
+    /// Whether the newest configuration in the response is invalid.
     pub invalid: bool,
-    /// Zones whose drain the operator asked for or took back.
+    /// Zone drains that the operator requested or withdrew.
     pub zone_drains: ZoneDrainUpdate,
-    /// Roll-outs that the operator ordered.
+    /// Roll-out orders of the operator.
     pub rollouts: RolloutOrderUpdate,
 }
 
 impl ConfigurationUpdate {
-    /// Whether it tells nothing: no version, and nothing of zones and roll-outs.
+    /// Whether the update holds no version, no change of zone drains and no roll-out order.
     pub fn is_empty(&self) -> bool {
         let zones = &self.zone_drains;
         let no_zones = zones.changes.is_empty() && zones.snapshot_revision.is_none();
@@ -212,51 +215,52 @@
     }
 }
 
-/// News of roll-outs that the operator ordered.
+/// Roll-out orders in one response.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutOrderUpdate {
-    /// Orders.
+    /// Valid orders.
     pub orders: Vec<RolloutOrder>,
-    /// Orders that cannot be taken.
+    /// Invalid orders.
     pub refused: Vec<RefusedOrder>,
 }
 
 impl RolloutOrderUpdate {
-    /// Whether it tells nothing.
+    /// Whether the update holds no orders.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty() && self.refused.is_empty()
     }
 }
 
-/// An order that cannot be taken.
+/// An invalid roll-out order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusedOrder {
-    /// Name that it was given under.
+    /// Name under which the order was given.
     pub name: String,
-    /// Revision at which it was given.
+    /// Revision at which the order was given.
     pub revision: u64,
-    /// Why it cannot be taken.
+    /// Why the order is invalid.
     pub cause: String,
 }
 
-/// News of the directory.
+/// Response to one read of the directory.
 #[derive(Debug, Default)]
 pub struct DirectoryUpdate {
-    /// Revision of the source up to which the news is complete.
+    /// Revision of the source up to which the update is complete.
     pub revision: u64,
-    /// When the answer was made, in milliseconds on the clock of the source; 0 if it does not tell.
+    /// When the response was made, in milliseconds on the clock of the source; 0 if it does not
+    /// report a time.
     pub answered_at_ms: u64,
-    /// What changed; its revision is that of the newest change, 0 for none.
+    /// The changes. Their revision is that of the newest change; 0 if there is none.
     pub delta: DirectoryDelta,
-    /// Rows that do not parse; they are left out.
+    /// Keys of rows that cannot be parsed and are left out.
     pub invalid_rows: Vec<String>,
 }
 
 /// Source of the configuration.
 pub trait ConfigurationSource {
-    /// Everything (`after` is `None`), or news after a revision, waiting up to
-    /// `wait` for some; notes in `transfer` what arrives. Whoever calls bounds
-    /// the time by dropping the call.
+    /// Reads a snapshot (`after` is `None`), or the changes after a revision, with a long-poll wait
+    /// of up to `wait`; records progress in `transfer`. The caller limits the time by dropping the
+    /// future.
     fn configuration(
         &self,
         after: Option<u64>,
@@ -264,15 +268,15 @@
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<ConfigurationUpdate, SourceError>>;
 
-    /// All zones that are drained, without the configuration. Whoever calls bounds the
-    /// time by dropping the call.
+    /// All drained zones, without the configuration. The caller limits the time by dropping the
+    /// future.
     fn zone_drains(
         &self,
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<ZoneDrainUpdate, SourceError>>;
 
-    /// All roll-outs that are ordered, without the configuration; none from a source that
-    /// holds no orders. Whoever calls bounds the time by dropping the call.
+    /// All roll-out orders, without the configuration; none from a source that holds no orders. The
+    /// caller limits the time by dropping the future.
     fn rollout_orders(
         &self,
         _transfer: Rc<Transfer>,
@@ -281,16 +285,16 @@
     }
 }
 
-/// Where verdicts on requests that end back ends last.
+/// Persistent store of verdicts on requests that crash back ends.
 pub trait VerdictStore {
-    /// All verdicts. Whoever calls bounds the time by dropping the call.
+    /// All verdicts. The caller limits the time by dropping the future.
     fn verdicts(
         &self,
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<Vec<StoredVerdict>, SourceError>>;
 
-    /// Writes verdicts and drops others; both may have been done before. Whoever calls
-    /// bounds the time by dropping the call.
+    /// Writes verdicts and deletes others. The operation is idempotent: both may have been done
+    /// before. The caller limits the time by dropping the future.
     fn change_verdicts(
         &self,
         stored: &[StoredVerdict],
@@ -299,11 +303,11 @@
     ) -> LocalBoxFuture<'_, Result<(), SourceError>>;
 }
 
-/// Where the outcomes of roll-outs last.
+/// Persistent store of the outcomes of roll-outs.
 pub trait RolloutStore {
-    /// Writes a status under its condition; it may have been done before. Whoever calls bounds
-    /// the time by dropping the call: it may be done afterwards still, if its condition holds
-    /// then.
+    /// Writes a status if its condition holds; the status may have been written before. The caller
+    /// limits the time by dropping the future. The write may still happen afterwards if its
+    /// condition holds then.
     fn write_status(
         &self,
         write: &StatusWrite,
@@ -313,9 +317,9 @@
 
 /// Directory of back ends.
 pub trait Directory {
-    /// Everything (`after` is `None`), or news after a revision, waiting up to
-    /// `wait` for some; notes in `transfer` what arrives. Whoever calls bounds
-    /// the time by dropping the call.
+    /// Reads a snapshot (`after` is `None`), or the changes after a revision, with a long-poll wait
+    /// of up to `wait`; records progress in `transfer`. The caller limits the time by dropping the
+    /// future.
     fn back_ends(
         &self,
         after: Option<u64>,
--- a/crates/stacktack-direct/src/settings.rs
+++ b/crates/stacktack-direct/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a direct router, as the adapter hands them over.
+//! Settings of a direct router, supplied by the platform adapter.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -7,26 +7,26 @@
 use stacktack_core::direct::request::budget::BudgetBound;
 use stacktack_core::direct::rollout::exposure::ExposureBound;
 
-/// Settings of one process; checked by whoever makes them.
+/// Settings of one process. The adapter has validated them.
 #[derive(Clone, Debug)]
 pub struct DirectSettings {
     /// Unique name of the process.
     pub name: String,
-    /// Zone that it stands in.
+    /// Zone of the process.
     pub zone: String,
-    /// Where callers connect.
+    /// Address that accepts callers.
     pub callers: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness check.
     pub readiness: SocketAddr,
-    /// Where metrics are served.
+    /// Address that serves metrics.
     pub metrics: SocketAddr,
-    /// Where other routers send news, and addresses of a few of them.
+    /// Address for traffic between routers, and seed addresses of other routers.
     pub peers: PeerSettings,
-    /// Bounds that operators set.
+    /// Bounds set by operators.
     pub bounds: Bounds,
 }
 
-/// Where settings come from while the process runs.
+/// Source from which settings are reloaded while the process runs.
 pub trait SettingsSource {
     /// Whether the settings may have changed since they were last read.
     fn may_have_changed(&self) -> bool;
@@ -35,29 +35,29 @@
     fn read(&self) -> Result<DirectSettings, Box<dyn Error>>;
 }
 
-/// Addresses for news between routers.
+/// Addresses for traffic between routers.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
-    /// This router's own address.
+    /// Address of this router, for gossip datagrams and for fetches by peers.
     pub listen: SocketAddr,
-    /// Addresses to begin with; they may be stale.
+    /// Seed addresses for discovery; they may be stale.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Bounds that operators set.
+/// Bounds set by operators.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time between a stop signal and the end of the process at the latest.
+    /// Maximum time between a stop signal and the end of the process.
     pub grace: Duration,
-    /// Time after which a leaving back end must get no new work.
+    /// Time after which a leaving back end must not get new requests.
     pub drain_timeout: Duration,
-    /// Time after which a stored configuration must be in force.
+    /// Maximum time until a stored configuration is in force.
     pub config_apply: Duration,
-    /// The retry budget of the fleet.
+    /// Retry budget of the fleet.
     pub retry_budget: BudgetBound,
-    /// Load of a back end over the mean that is never exceeded on purpose.
+    /// Maximum load of a back end that routing may cause on purpose, in multiples of the mean load.
     pub load_cap: f64,
-    /// What a version that is rolled out gets before it is proved; `None` where roll-outs are
-    /// not served.
+    /// Bound on the requests that a new version may get before it is proved; `None` where roll-outs
+    /// are not served.
     pub exposure: Option<ExposureBound>,
 }
--- a/crates/stacktack-direct/src/source_error.rs
+++ b/crates/stacktack-direct/src/source_error.rs
@@ -1,32 +1,32 @@
-//! Why a call to a source of beliefs failed.
+//! Errors of calls to the store and to peers.
 
 use thiserror::Error;
 
-/// Why a call to a source of beliefs failed.
+/// Why a call to the store or to a peer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SourceError {
-    /// No connection came up.
-    #[error("no connection came up")]
+    /// No connection was established.
+    #[error("no connection was established")]
     Unreached,
-    /// No answer came in time.
+    /// No response arrived within the timeout.
     #[error("no answer came in time")]
     TimedOut,
-    /// The machine was suspended: what the source said before may be old.
+    /// The machine was suspended, so that what the source said before may be stale.
     #[error("the machine was suspended")]
     Suspended,
     /// The connection broke.
     #[error("the connection broke")]
     Broken,
-    /// The call was refused with this status.
+    /// The call was refused with this HTTP status.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// Too many are told at the moment; others may have room.
-    #[error("no room now")]
+    /// The peer serves too many others at the moment; another peer may have free capacity.
+    #[error("no free capacity")]
     NoCapacity,
-    /// The history after the given revision is gone: read everything anew.
-    #[error("the history is gone")]
+    /// The changes after the given revision are no longer available: a snapshot has to be read.
+    #[error("the history after the revision is gone")]
     HistoryGone,
-    /// The answer does not parse.
-    #[error("the answer does not parse")]
+    /// The response cannot be parsed.
+    #[error("the response cannot be parsed")]
     Malformed,
 }
--- a/crates/stacktack-direct/src/transfer.rs
+++ b/crates/stacktack-direct/src/transfer.rs
@@ -1,4 +1,4 @@
-//! How far the answer to one call has come.
+//! Progress of the response to one call.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -9,47 +9,47 @@
 
 use crate::source_error::SourceError;
 
-/// The answer to one call on its way. Whoever reads it notes its bytes; whoever
-/// waits for it sees whether it still moves.
+/// Progress of the response to one call. The reader of the response records its bytes; the caller
+/// sees whether bytes still arrive.
 #[derive(Debug)]
 pub struct Transfer {
-    begun: Instant,
+    started: Instant,
     first_byte: Cell<Option<Instant>>,
-    moved: Cell<Instant>,
+    last_progress: Cell<Instant>,
     bytes: Cell<u64>,
 }
 
 impl Transfer {
-    /// A call that is made now.
+    /// Progress of a call that is made now.
     pub fn begin() -> Rc<Self> {
         let now = Instant::now();
         Rc::new(Transfer {
-            begun: now,
+            started: now,
             first_byte: Cell::new(None),
-            moved: Cell::new(now),
+            last_progress: Cell::new(now),
             bytes: Cell::new(0),
         })
     }
 
-    /// So many bytes of the answer arrived. The head of an answer counts as one.
+    /// Records that bytes of the response arrived. The head of a response counts as one byte.
     pub fn on_bytes(&self, bytes: usize) {
         let now = Instant::now();
         self.first_byte.set(self.first_byte.get().or(Some(now)));
-        self.moved.set(now);
+        self.last_progress.set(now);
         self.bytes.set(self.bytes.get() + bytes as u64);
     }
 
-    /// Bytes that arrived.
+    /// Bytes received so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
     }
 
-    /// When the answer began, if it has.
+    /// When the first byte arrived.
     pub fn first_byte(&self) -> Option<Instant> {
         self.first_byte.get()
     }
 
-    /// Time for which the answer has been arriving.
+    /// Time since the first byte arrived; zero before.
     pub fn arriving_for(&self) -> Duration {
         self.first_byte
             .get()
@@ -58,34 +58,34 @@
 
     /// Time since the call was made.
     pub fn elapsed(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// When bytes arrived last; when the call was made, if none did.
+    /// When the last bytes arrived; when the call was made, if none have.
     pub fn last_progress(&self) -> Instant {
-        self.moved.get()
+        self.last_progress.get()
     }
 }
 
-/// Awaits a call's answer for as long as it moves: it fails as silent once nothing has
-/// arrived for `patience`.
+/// Waits for the response to a call as long as bytes arrive; fails with
+/// [`SourceError::TimedOut`] once nothing has arrived for `idle_timeout`.
 ///
-/// A bound on the whole answer would drop a large one over a narrow link, and the next
-/// try would begin anew beside all else that waits for the link: of 464 kB 426 kB were
-/// thrown away again and again.
+/// A timeout for the whole response would drop a large one on a narrow link, and the next call
+/// would start again, beside everything else that waits for the link: 426 kB of 464 kB were
+/// discarded again and again.
 pub async fn with_idle_timeout<T>(
     call: impl Future<Output = Result<T, SourceError>>,
     transfer: &Transfer,
-    patience: Duration,
+    idle_timeout: Duration,
 ) -> Result<T, SourceError> {
     let mut call = std::pin::pin!(call);
     loop {
-        let deadline = transfer.last_progress() + patience;
+        let deadline = transfer.last_progress() + idle_timeout;
         tokio::select! {
             biased;
             result = &mut call => return result,
             () = sleep_until(deadline) => {
-                if transfer.last_progress() + patience <= Instant::now() {
+                if transfer.last_progress() + idle_timeout <= Instant::now() {
                     return Err(SourceError::TimedOut);
                 }
             }
