--- a/crates/stacktack-core/tests/charts.rs
+++ b/crates/stacktack-core/tests/charts.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_double_answer_is_refused() {
+fn a_duplicate_transition_is_refused() {
     let entry = "[[transition]]\nfrom = ['open', 'shut']\non = ['in', 'out']\nto = 'shut'\n";
     let result = DoorChart::parse(&format!("{HEADER}{entry}{entry}"));
     assert!(matches!(result, Err(ChartError::Duplicate { .. })));
--- a/crates/stacktack-core/tests/configuration_changes.rs
+++ b/crates/stacktack-core/tests/configuration_changes.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn changes_apply_to_their_own_version_only() {
+fn changes_apply_only_to_the_version_they_start_from() {
     let before = first();
     let after = next(&before, |configuration| {
         configuration.routes.insert(Arc::new(route(40, 1)));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn what_is_long_ago_or_large_is_forgotten() {
+fn old_and_large_changes_are_forgotten() {
     let mut history = ConfigurationHistory::default();
     let mut before = first();
     let oldest = before.version;
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn whether_keys_are_needed_is_not_handed_on_as_a_change() {
+fn a_change_of_whether_keys_are_required_clears_the_history() {
     let before = first();
     let after = next(&before, |configuration| configuration.keys = None);
     let mut history = ConfigurationHistory::default();
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_configuration_survives_being_handed_on() {
+fn a_configuration_is_unchanged_by_serialization() {
     let tenant = Tenant {
         name: "t".to_owned(),
         priority: Some(1),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn prompt_chains_parse_or_say_which_entry_does_not() {
+fn prompt_chains_parse_or_name_the_invalid_entry() {
     let chain = PromptChain::parse("5c:800,91bd:410,e4:250").expect("parses");
     assert_eq!(chain.affinity_part().map(|part| part.id), Some(0x91bd));
     assert_eq!(chain.shared_tokens(), 1210);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_never_sent_again_unless_it_may_be_repeated() {
+fn a_request_that_may_have_run_is_retried_only_if_idempotent() {
     let uncertain = [
         AttemptFailure::Failed,
         AttemptFailure::Broken,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn certain_failures_leave_a_request_free_within_its_attempts() {
+fn a_request_that_did_not_run_is_retried_up_to_its_maximum_of_attempts() {
     let mut ledger = AttemptHistory::default();
     ledger.record(AttemptFailure::Unreached);
     ledger.record(AttemptFailure::OtherInstance);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn tries_that_reach_nobody_end() {
+fn attempts_that_reach_no_back_end_are_limited() {
     let mut ledger = AttemptHistory::default();
     let mut tries = 0;
     while ledger.may_send_again(RouteKind::Once, 1) {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn only_whole_events_pass_and_the_last_id_is_known() {
+fn only_complete_events_are_forwarded_and_the_last_id_is_known() {
     let stream = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
     let mut random = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..200 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_torn_event_is_dropped_for_whoever_continues() {
+fn a_partial_event_is_discarded_before_the_stream_resumes() {
     let mut splitter = EventSplitter::default();
     let passed = splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
     assert_eq!(&passed[..], b"id: 7\ndata: a\n\n");
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn routers_agree_on_the_home_of_a_part_whatever_their_order() {
+fn routers_agree_on_the_home_of_a_part_whatever_the_order_of_candidates() {
     let bounds = SelectBounds::for_load_cap(2.0);
     let candidates: Vec<_> = (0..8).map(|index| candidate(index, 1.0)).collect();
     let mut turned = candidates.clone();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_loaded_home_is_passed_by_and_a_bad_standing_too() {
+fn requests_spill_from_a_loaded_home_and_from_an_ejected_one() {
     let bounds = SelectBounds::for_load_cap(2.0);
     let mut candidates: Vec<_> = (0..8).map(|index| candidate(index, 1.0)).collect();
     let home = select_by_affinity(&candidates, 5, &bounds)
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn the_own_zone_is_used_until_another_is_clearly_freer() {
+fn the_own_zone_is_used_until_another_is_clearly_less_loaded() {
     let bounds = SelectBounds::for_load_cap(2.0);
     let mut candidates = vec![candidate(0, 2.0), candidate(1, 1.0)];
     candidates[1].same_zone = false;
@@ -284,7 +284,7 @@
 /// Found on days of overload: where pools were full, parts were read again at back end
 /// after back end that had room for a moment.
 #[test]
-fn a_request_goes_no_further_in_a_full_pool_than_parts_are_kept() {
+fn in_a_full_pool_a_request_tries_only_the_first_few_candidates() {
     let choose = |full: usize, bounds: SelectBounds| {
         let order: Vec<usize> = (0..8).map(|rank| nth_in_order(rank, 8, &bounds)).collect();
         let candidates: Vec<DirectCandidate> = (0..8)
--- a/crates/stacktack-core/tests/directory.rs
+++ b/crates/stacktack-core/tests/directory.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn who_knows_a_little_less_gets_what_changed() {
+fn a_peer_with_a_recent_revision_gets_only_the_changes() {
     let mut all = read_whole();
     let mut change = DirectoryChange::default();
     all.upsert(entry("b", 11), Time(0), &mut change);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn who_knows_less_than_is_remembered_gets_everything() {
+fn a_peer_older_than_the_remembered_removals_gets_a_snapshot() {
     let all = read_whole();
     let delta = all.changes_after(9, 10, Time(0));
     assert!(delta.whole);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn departures_are_remembered_up_to_a_bound() {
+fn the_number_of_remembered_removals_is_bounded() {
     let mut all = read_whole();
     let mut change = DirectoryChange::default();
     for revision in 11..4011 {
@@ -94,7 +94,7 @@
 /// Found by reading: a feed that lags behind what a peer told brought back an
 /// entry that had left.
 #[test]
-fn late_news_undoes_nothing() {
+fn late_updates_do_not_undo_newer_ones() {
     let mut all = read_whole();
     let mut change = DirectoryChange::default();
     all.remove(departure("a", 12), &mut change);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn what_is_not_decided_is_not_vouched_for() {
+fn the_decided_revision_precedes_pending_removals() {
     let mut held = PendingRemovals::default();
     assert_eq!(held.decided_revision(20), 20);
     let departures = vec![departure("a", 15), departure("b", 18)];
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn nothing_is_believed_of_the_life_before_under_the_same_id() {
+fn state_of_the_previous_instance_of_an_id_is_discarded() {
     let mut all = BackEnds::default();
     let mut change = DirectoryChange::default();
     all.upsert(life(100, 1), Time(0), &mut change);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn an_earlier_life_never_comes_back() {
+fn an_entry_of_an_earlier_instance_is_ignored() {
     let mut all = BackEnds::default();
     let mut change = DirectoryChange::default();
     all.upsert(life(200, 2), Time(0), &mut change);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_planned_end_is_no_vanished_life() {
+fn an_instance_that_was_leaving_does_not_count_as_vanished() {
     let mut all = read_whole();
     let mut change = DirectoryChange::default();
     let leaving = BackEndEntry {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn the_short_form_of_directory_news_loses_nothing() {
+fn a_compact_delta_expands_to_the_same_delta() {
     let mut delta = large_directory(50);
     // Lives that do not tell their birth, and entries newer than what is decided.
     delta.present[3].born = 0;
@@ -231,7 +231,7 @@
 /// At each start of a fleet the whole directory went to each router, 232 kB of 3,025 back ends, of which most
 /// were the same few labels again and again.
 #[test]
-fn a_whole_directory_in_short_form_takes_less_than_half() {
+fn a_compact_snapshot_takes_less_than_half_of_the_bytes() {
     let delta = large_directory(3000);
     let full = postcard::to_allocvec(&delta).expect("serializes").len();
     let short = postcard::to_allocvec(&CompactDelta::from(delta)).expect("serializes");
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn an_entry_with_labels_that_are_not_told_is_refused() {
+fn an_entry_that_refers_to_missing_labels_is_refused() {
     let one = DirectoryDelta {
         present: vec![entry("a", 3)],
         ..DirectoryDelta::default()
--- a/crates/stacktack-core/tests/freshness.rs
+++ b/crates/stacktack-core/tests/freshness.rs
@@ -381,7 +381,7 @@
 /// newer by that with each step: 357 routers asked nothing for 7 s, and a request reached a back end 5.5 s after
 /// it had said that it leaves.
 #[test]
-fn what_routers_know_stays_new_at_a_small_price() {
+fn knowledge_stays_fresh_with_few_calls_to_the_store() {
     for (routers, bound) in SIZES {
         let bound = Duration::from_millis(bound);
         for seed in if routers > 200 { 5..6 } else { 5..8 } {
@@ -398,7 +398,7 @@
 /// All reads die at once, and no peer knows more: everybody has looked within its share of the
 /// bound.
 #[test]
-fn a_fleet_whose_reads_are_all_dead_looks_in_time() {
+fn a_fleet_polls_in_time_when_no_call_in_flight_is_answered() {
     for (routers, bound) in SIZES {
         let bound = Duration::from_millis(bound);
         for seed in 0..if routers > 100 { 1 } else { 3 } {
@@ -419,7 +419,7 @@
 /// routers that know each other for long. Calls a second in the ten seconds from then on, where each waited by itself:
 /// 5.9, 19.4, 75.7 at 24, 103 and 330 routers; now 1.4, 1.3, 1.5 and 3.3 at 24, 103, 357 and 714.
 #[test]
-fn routers_that_start_at_once_soon_ask_as_seldom_as_old_ones() {
+fn routers_that_start_at_once_soon_make_few_calls_to_the_store() {
     const LEARNING: Duration = Duration::from_secs(3);
     const SPAN: Duration = Duration::from_secs(10);
     for (routers, bound) in SIZES {
@@ -447,7 +447,7 @@
 /// The router that watches is stopped, again and again, or a third of all with it: another one goes on before
 /// what anybody knows is older than its share of the bound.
 #[test]
-fn a_router_that_watches_and_stops_is_missed_in_time() {
+fn another_router_takes_over_in_time_when_the_watching_one_stops() {
     for (routers, bound) in SIZES.into_iter().filter(|(routers, _)| *routers > 4) {
         let bound = Duration::from_millis(bound);
         for share in [0.0, 0.33] {
@@ -470,7 +470,7 @@
 /// The store answers nobody for a while: its return is known to all within the time of one look and a round of
 /// pushes.
 #[test]
-fn the_return_of_the_store_reaches_all_at_once() {
+fn all_routers_soon_learn_that_the_store_has_returned() {
     const AWAY: Duration = Duration::from_secs(8);
     for (routers, bound) in SIZES {
         let bound = Duration::from_millis(bound);
--- a/crates/stacktack-core/tests/load_news/main.rs
+++ b/crates/stacktack-core/tests/load_gossip/main.rs
@@ -3,11 +3,11 @@
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
-use world::{Measured, Plan, World, RUN_SECONDS};
+use simulation::{Measured, Plan, World, RUN_SECONDS};
 
 fn measure(plan: Plan) -> Measured {
     let measured = World::new(plan, 11).run();
@@ -49,7 +49,7 @@
 /// In the middle they were 0.72 s old with all places told, 24 and 20 loads in a datagram; they are 0.40 s old with a tenth of
 /// the places, 8 and 14 loads.
 #[test]
-fn places_that_are_told_leave_room_for_loads() {
+fn gossip_of_prefix_locations_does_not_delay_load_reports() {
     let plan = Plan {
         told_places: 0.1,
         ..calm(32, 58)
@@ -68,7 +68,7 @@
 /// Found by a hunted day: with 28 routers each told its own loads only, the news was
 /// five seconds old, and routers believed 9 to 14 requests where 33 were.
 #[test]
-fn thirty_routers_know_the_loads_within_a_good_second() {
+fn thirty_routers_know_the_loads() {
     assert_known(&measure(calm(30, 55)), Duration::from_millis(1300), 3.0);
 }
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn routers_that_are_cut_off_do_not_harm_what_others_know() {
+fn partitioned_routers_hardly_affect_the_loads_that_others_know() {
     let plan = Plan {
         cut_off: 8,
         ..calm(30, 55)
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn routers_that_start_anew_learn_the_loads_at_once() {
+fn restarted_routers_learn_the_loads_at_once() {
     let plan = Plan {
         restarts: true,
         ..calm(30, 55)
@@ -113,7 +113,7 @@
 /// as new. The others' error with one and three of thirty standing still for 1.5 s at a
 /// time is what it is with none (95 in 100 within 6 requests), with six of thirty 7.
 #[test]
-fn routers_that_stand_still_do_little_harm_to_what_others_know() {
+fn stalled_routers_hardly_affect_the_loads_that_others_know() {
     for stalled in [1, 3] {
         let plan = Plan {
             stalled,
--- a/crates/stacktack-core/tests/passed_by_members/main.rs
+++ b/crates/stacktack-core/tests/passed_by_members/main.rs
@@ -16,11 +16,11 @@
 
 #[path = "../event_queue/mod.rs"]
 mod event_queue;
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
-use world::{Holds, Measured, Plan, World};
+use simulation::{Holds, Measured, Plan, World};
 
 /// Fleets and pools; the first is the one that the story was seen at.
 const PLANS: [Plan; 4] = [
--- a/crates/stacktack-core/tests/news_budget.rs
+++ b/crates/stacktack-core/tests/staleness_budget.rs
@@ -12,7 +12,7 @@
 /// A read that died at the worst moment: a change comes right after the last answer, the first
 /// look is not answered, the second one is. A fifth of the bound is left to choose and to send.
 #[test]
-fn the_parts_fit_into_the_bound_whatever_it_is() {
+fn the_shares_fit_into_any_bound() {
     for bound in [ms(500), ms(2000), ms(3000), ms(4000), ms(5000), ms(30_000)] {
         let budget = StalenessBudget::new(bound);
         let known = budget.max_age() + budget.answer_timeout();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_look_is_due_once_what_is_known_is_too_old() {
+fn a_poll_is_due_once_knowledge_is_stale() {
     let budget = StalenessBudget::new(ms(2000));
     let until = |age, since_look| budget.until_poll(ms(age), since_look, Duration::ZERO);
     assert_eq!(until(0, None), ms(1200));
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn looks_at_a_slow_source_do_not_pile_up() {
+fn polls_of_a_slow_source_do_not_pile_up() {
     let budget = StalenessBudget::new(ms(2000));
     let left = budget.until_poll(ms(1500), Some(ms(500)), ms(1360));
     assert_eq!(left, ms(2220));
 }
 
 #[test]
-fn a_lone_router_waits_no_longer_than_until_its_look() {
+fn a_router_without_peers_stops_waiting_before_a_poll_is_due() {
     let budget = StalenessBudget::new(ms(3000));
     assert!(budget.wait_without_peers(Duration::ZERO) < budget.max_age());
     assert_eq!(budget.wait_without_peers(ms(9000)), Duration::ZERO);
@@ -51,7 +51,7 @@
 
 /// Equal waits that begin with the same news end in step, and nobody would see that others watch.
 #[test]
-fn waits_are_spread() {
+fn waits_are_jittered() {
     let budget = StalenessBudget::new(ms(5000));
     let wait = |draw| budget.watch_wait(Duration::ZERO, draw);
     let (longest, shortest) = (wait(0.0), wait(0.999));
@@ -62,7 +62,7 @@
 /// The story. The router that watches gathered news for as long as it may wait, and then waited as long
 /// again: what 356 others knew got too old meanwhile, and all of them asked at once after each change.
 #[test]
-fn who_watches_answers_to_the_others_in_time_whatever_it_gathered() {
+fn the_watching_router_updates_the_others_in_time_after_any_batch_window() {
     for bound in [ms(2000), ms(5000)] {
         let budget = StalenessBudget::new(bound);
         for routers in [1, 4, 24, 103, 357, 714] {
@@ -81,7 +81,7 @@
 /// The first of all turns comes after the longest wait of the router that watches, and in 999 of 1,000 cases before
 /// what is known is too old, whatever the number of routers.
 #[test]
-fn some_router_takes_its_turn_in_time() {
+fn some_router_takes_over_in_time() {
     let budget = StalenessBudget::new(ms(5000));
     for routers in [1, 4, 24, 103, 357, 714] {
         // The first of so many draws that are even in 0..1, at its thousandth from below and from above.
