--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_was_not_sent_for_that_has_not_run_and_may_go_elsewhere() {
+fn a_request_to_a_back_end_that_left_was_not_run_and_counts_as_no_send() {
     assert!(AttemptFailure::BackEndLeft.proves_not_run());
     assert!(!AttemptFailure::BackEndLeft.counts_as_send());
 }
--- a/crates/stacktack-direct/tests/calls.rs
+++ b/crates/stacktack-direct/tests/calls.rs
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_is_not_answered_is_late_after_the_patience() {
+async fn a_call_without_an_answer_is_late_after_the_maximum_lateness() {
     let mut calls = calls();
     assert!(matches!(calls.next_event(PATIENCE).await, CallEvent::Due));
     let begun = Instant::now();
--- a/crates/stacktack-direct/tests/configuration_in_force/main.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/main.rs
@@ -22,9 +22,9 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod simulation;
 #[path = "../common/steady_peer.rs"]
 mod steady_peer;
-mod world;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,14 +36,14 @@
 use tokio::time::sleep;
 
 use common::after;
-use world::{
+use simulation::{
     confirm_often, follow, latest_in_force, Link, Peer, Store, BOUND, IN_TOUCH, NARROW, PACE, WIDE,
 };
 
 /// A router that was away from the store, and followed its peers, has what is confirmed
 /// after its return in force within the bound, whenever the return falls.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_was_away_from_the_store_is_up_to_date_soon_after() {
+async fn a_router_is_up_to_date_soon_after_the_store_is_reachable_again() {
     for away in (5000..9000).step_by(250) {
         let link = Link::new(WIDE);
         let store = Store::new(link.clone(), Duration::from_millis(5));
@@ -73,7 +73,7 @@
 
 /// The same without peers: what was missed does not have to be read version by version.
 #[tokio::test(start_paused = true)]
-async fn what_was_missed_is_not_read_version_by_version() {
+async fn missed_versions_are_not_read_one_by_one() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
     let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
@@ -114,7 +114,7 @@
 /// While a store answers late, versions are in force within two answers, also after a
 /// moment in which nobody was answered.
 #[tokio::test(start_paused = true)]
-async fn versions_stay_in_force_while_a_store_is_slow() {
+async fn versions_come_into_force_in_time_while_the_store_is_slow() {
     let latency = Duration::from_millis(1360);
     let store = Store::new(Link::new(NARROW), Duration::from_millis(5));
     store.link.bytes_per_second.set(WIDE);
@@ -173,7 +173,7 @@
 
 /// The whole directory is awaited from a slow store too.
 #[tokio::test(start_paused = true)]
-async fn a_slow_store_tells_the_directory_at_a_start() {
+async fn a_router_that_starts_gets_the_directory_from_a_slow_store() {
     let store = Store::new(Link::new(NARROW), Duration::from_millis(1360));
     let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
@@ -198,7 +198,7 @@
 
 /// What peers told is not asked of a store that has forgotten how it came about.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_forgot_its_history_is_read_as_it_stands() {
+async fn a_snapshot_is_read_from_a_store_that_forgot_its_history() {
     let link = Link::new(WIDE);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
@@ -225,7 +225,7 @@
 /// A router that is away from the store takes over from a peer what changed, and not a
 /// whole document for each version: 8 versions took 3,824,480 bytes as documents.
 #[tokio::test(start_paused = true)]
-async fn a_peer_hands_on_what_changed_and_not_the_document() {
+async fn a_peer_sends_changes_instead_of_the_whole_configuration() {
     let link = Link::new(NARROW);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
@@ -280,7 +280,7 @@
 /// refused callers of a new route for the 20 s that the call could wait: nothing else
 /// showed that the store had answered all other calls since.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_is_never_answered_holds_news_up_for_seconds_only() {
+async fn a_call_that_is_never_answered_delays_updates_by_seconds_only() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
     let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
@@ -306,7 +306,7 @@
 /// then is in force within the bound all the same. The story is told in
 /// `followers/departures_in_time.rs`.
 #[tokio::test(start_paused = true)]
-async fn a_version_is_in_force_in_time_although_the_read_that_waits_is_dead() {
+async fn a_version_is_in_force_in_time_although_the_waiting_read_is_never_answered() {
     for pause in (0..6000).step_by(500) {
         let link = Link::new(WIDE);
         let store = Store::new(link, Duration::from_millis(5));
--- a/crates/stacktack-direct/tests/datagrams.rs
+++ b/crates/stacktack-direct/tests/datagrams.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn an_encoded_datagram_is_decoded_unchanged() {
     let records = [record(1), record(2)];
     let bytes = encode(&news(), &records, &ages(), &reads()).expect("a datagram");
     let datagram = decode(&bytes).expect("valid");
@@ -69,7 +69,7 @@
 
 /// A datagram as the release before wrote it: ages, and nothing behind them.
 #[test]
-fn ages_of_the_release_before_are_read_without_revisions() {
+fn ages_of_an_earlier_release_are_decoded_without_source_reads() {
     let parts = [
         postcard::to_allocvec(&news()).expect("bytes"),
         postcard::to_allocvec(&Vec::<RecordGossip>::new()).expect("bytes"),
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn earlier_releases_read_the_news_and_leave_the_rest() {
+fn earlier_releases_decode_the_gossip_and_ignore_the_rest() {
     let bytes = encode(&news(), &[record(1)], &ages(), &reads()).expect("a datagram");
     let read: PeerGossip = postcard::from_bytes(&bytes).expect("valid there");
     assert_eq!(read, news());
@@ -89,7 +89,7 @@
 
 /// Bytes that the release before sent for this news.
 #[test]
-fn news_of_earlier_releases_is_read_without_records() {
+fn gossip_of_earlier_releases_is_decoded_without_records() {
     let bytes = [
         0, 127, 0, 0, 1, 10, 1, 160, 155, 1, 3, 4, 1, 1, 0, 0, 0, 0, 0, 0,
     ];
@@ -104,7 +104,7 @@
 
 /// A datagram as the release before wrote it: news and records, and nothing behind them.
 #[test]
-fn records_of_the_release_before_are_read_without_ages() {
+fn records_of_an_earlier_release_are_decoded_without_ages() {
     let parts = [
         postcard::to_allocvec(&news()).expect("bytes"),
         postcard::to_allocvec(&vec![record(1)]).expect("bytes"),
@@ -117,7 +117,7 @@
 /// What the release before does with a datagram: it reads news, then records, and leaves the
 /// rest, also where there are no records.
 #[test]
-fn the_release_before_reads_records_and_leaves_the_ages() {
+fn earlier_releases_decode_the_records_and_ignore_the_ages() {
     for records in [Vec::new(), vec![record(1)]] {
         let bytes = encode(&news(), &records, &ages(), &reads()).expect("a datagram");
         let (read, rest) = postcard::take_from_bytes::<PeerGossip>(&bytes).expect("valid there");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn records_that_do_not_fit_wait() {
+fn records_that_do_not_fit_are_left_out() {
     let mut large = news();
     large.in_flight = vec![(ShortId([1, 2, 3]), u16::MAX); 215];
     let records: Vec<_> = (0..20).map(record).collect();
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_is_no_datagram_is_refused() {
+fn invalid_datagrams_are_rejected() {
     assert!(decode(&[]).is_err());
     assert!(decode(&[9; 40]).is_err());
     let bytes = encode(&news(), &[record(1)], &ages(), &reads()).expect("a datagram");
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -87,7 +87,7 @@
 
 /// All reads under way are dead, here and at all peers, and the store answers whoever asks anew.
 #[tokio::test(start_paused = true)]
-async fn a_departure_is_known_in_time_although_the_reads_that_wait_are_dead() {
+async fn a_departure_is_known_in_time_although_the_waiting_reads_are_never_answered() {
     for pause in (0..6000).step_by(250) {
         for by_row in [false, true] {
             let script = |directory: Rc<ScriptedDirectory>, router: Rc<Router>| async move {
@@ -201,7 +201,7 @@
 /// and does not tell that the store answers it steadily. The router had heard of the departure, and
 /// never asked the peer for it.
 #[tokio::test(start_paused = true)]
-async fn a_departure_that_is_held_is_taken_from_a_peer_that_has_decided_it() {
+async fn a_pending_removal_is_fetched_from_a_peer_that_has_decided_it() {
     follow_beside_peer(ServingPeer, |pair| async move {
         after(3000).await;
         pair.away.set(true);
@@ -239,7 +239,7 @@
 /// The store turns this router away, and the connection to the peer that is asked first says
 /// nothing: the departure is taken from another one in time.
 #[tokio::test(start_paused = true)]
-async fn a_departure_is_known_in_time_although_a_peer_says_nothing() {
+async fn a_departure_is_known_in_time_although_a_peer_never_answers() {
     follow_beside_peer(OneSilentPeer, |pair| async move {
         after(3000).await;
         pair.away.set(true);
@@ -289,7 +289,7 @@
 /// after its return: whoever only could not renew its entry may come back for 2.2 s from then on. A router
 /// that noticed the return late held the departure for as much longer than it may.
 #[tokio::test(start_paused = true)]
-async fn a_departure_right_before_an_outage_is_believed_in_time_after_it() {
+async fn a_removal_right_before_an_outage_takes_effect_in_time_after_it() {
     let mut latest = Duration::ZERO;
     // Pauses are drawn; the finer steps are where they mattered.
     let lengths = (100..2000).step_by(50).chain([2500, 4000, 7000]);
--- a/crates/stacktack-direct/tests/followers/main.rs
+++ b/crates/stacktack-direct/tests/followers/main.rs
@@ -6,7 +6,7 @@
 mod departures_in_time;
 mod scripted_directory;
 mod serving_peer;
-mod start_of_all;
+mod simultaneous_starts;
 mod starts;
 #[path = "../common/steady_peer.rs"]
 mod steady_peer;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_disappearance_well_after_an_outage_is_believed_when_it_is_heard() {
+async fn a_removal_well_after_an_outage_takes_effect_when_it_is_received() {
     follow(|directory, router| async move {
         directory.set_down(true);
         after(100).await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_vanished_in_an_outage_is_gone_unless_it_renews_itself_soon_after() {
+async fn an_entry_missing_after_an_outage_is_removed_unless_it_is_renewed_soon() {
     follow(|directory, router| async move {
         directory.set_down(true);
         after(4000).await;
@@ -97,7 +97,7 @@
 /// Nobody else tells a lone router that nothing changed: it asks before what it knows is older
 /// than 0.6 of the time in which a departure has to be known (3 s), and hardly more often.
 #[tokio::test(start_paused = true)]
-async fn a_lone_router_asks_a_quiet_directory_as_often_as_the_bound_needs() {
+async fn a_lone_router_polls_an_unchanged_directory_as_often_as_the_bound_requires() {
     follow(|directory, router| async move {
         let mut oldest = Duration::ZERO;
         for _ in 0..600 {
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_quiet_directory_is_asked_seldom_while_peers_look() {
+async fn an_unchanged_directory_is_polled_rarely_while_peers_poll_it() {
     follow(|directory, router| async move {
         for _ in 0..600 {
             let now = router.now();
@@ -149,7 +149,7 @@
 /// directory twice a second: calls to the store were the dearest line of a calm day. Beside a peer that
 /// watches it none is needed, but for the end of the time in which this router watched too.
 #[tokio::test(start_paused = true)]
-async fn in_a_large_fleet_each_router_reads_a_busy_directory_seldom() {
+async fn in_a_large_fleet_each_router_rarely_reads_a_directory_that_changes_often() {
     follow(|directory, router| async move {
         let from = SocketAddr::from(([127, 0, 1, 1], 9));
         let tell = |revision: u64| {
@@ -201,7 +201,7 @@
 
 /// A router that hears no steady peer reads as often as a lone one.
 #[tokio::test(start_paused = true)]
-async fn a_lone_router_reads_a_busy_directory_often() {
+async fn a_lone_router_soon_knows_each_change_of_the_directory() {
     follow(|directory, router| async move {
         for round in 0..20 {
             directory.set("c", round % 2 == 0);
--- a/crates/stacktack-direct/tests/followers/start_of_all.rs
+++ b/crates/stacktack-direct/tests/followers/simultaneous_starts.rs
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_no_room_asks_another_router_that_knows() {
+async fn a_router_refused_for_lack_of_capacity_fetches_from_another_peer() {
     for _ in 0..10 {
         let took = time_until_all_know(2000).await;
         assert!(took < Duration::from_millis(150), "{took:?}");
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn small_documents_wait_for_no_turn() {
+async fn small_snapshots_are_not_limited() {
     for _ in 0..10 {
         let took = time_until_all_know(6).await;
         assert!(took < Duration::from_millis(50), "{took:?}");
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -61,7 +61,7 @@
 
 /// A router starts beside one that serves, and follows it for half a minute in which back ends come and go.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_starts_beside_others_asks_the_store_nothing() {
+async fn a_router_that_joins_a_running_fleet_makes_no_calls_to_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
     for id in ["a", "b"] {
         directory.set(id, true);
@@ -98,7 +98,7 @@
 
 /// A process that stood still reads what waited meanwhile: what it says of ages was true then.
 #[tokio::test(start_paused = true)]
-async fn what_waited_while_the_process_stood_still_is_not_taken_for_new() {
+async fn a_process_counts_as_caught_up_only_some_time_after_a_stall() {
     let router = router();
     for _ in 0..5 {
         after(100).await;
@@ -136,7 +136,7 @@
 /// Whoever knows that there is news and gets it from nobody asks the store, though nothing that it
 /// knows is old.
 #[tokio::test(start_paused = true)]
-async fn news_that_no_peer_hands_over_is_asked_of_the_store() {
+async fn an_update_that_no_peer_provides_is_read_from_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
     directory.set("a", true);
     let (serving, starting) = (router(), router_with_seeds(&[SEED]));
@@ -162,7 +162,7 @@
 
 /// Nobody answers a router that starts: it asks the store before a caller would notice.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_hears_nobody_soon_asks_the_store() {
+async fn a_router_that_starts_without_live_peers_soon_asks_the_store() {
     for _ in 0..20 {
         let directory = Rc::new(ScriptedDirectory::default());
         directory.set("a", true);
@@ -177,7 +177,7 @@
 
 /// The one that everybody knows does not wait for others: they wait for it.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_others_know_from_the_settings_asks_at_once() {
+async fn a_seed_router_asks_the_store_at_once() {
     let directory = Rc::new(ScriptedDirectory::default());
     directory.set("a", true);
     let starting = router_with_seeds(&[SEED, SocketAddr::from(([127, 0, 0, 1], 9))]);
--- a/crates/stacktack-direct/tests/peer_layouts.rs
+++ b/crates/stacktack-direct/tests/peer_layouts.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_router_of_the_release_before_is_answered_in_its_layout() {
+fn a_router_of_the_previous_release_is_answered_in_its_layout() {
     let (status, body) = respond_to_peer(&knowing(), &format!("{FULL}revision=0"));
     assert_eq!(status, StatusCode::OK);
     let (_, told): (Option<Vec<u8>>, Option<DirectoryDelta>) =
@@ -101,7 +101,7 @@
 
 /// A fleet whose routers are replaced one by one has both releases side by side.
 #[test]
-fn a_router_of_the_release_before_hands_over_the_directory() {
+fn the_directory_is_fetched_from_a_router_of_the_previous_release() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("listens");
     let address = listener.local_addr().expect("address");
     let peer = thread::spawn(move || serve_as_before(&listener));
@@ -119,14 +119,14 @@
 }
 
 #[test]
-fn a_layout_of_no_release_is_turned_away() {
+fn a_query_in_an_unknown_layout_is_rejected() {
     let (status, _) = respond_to_peer(&router(), "/knowledge/2?revision=0");
     assert_eq!(status, StatusCode::NOT_FOUND);
 }
 
 /// Each that starts asks for all; those that serve ask for changes, and are never turned away.
 #[test]
-fn one_that_starts_waits_for_room_and_others_do_not() {
+fn large_snapshot_transfers_are_limited_and_changes_are_not() {
     let router = knowing_many();
     let caller = "127.0.0.2".parse().expect("address");
     let ask = |known: PeerQuery| serve_peer(&router, caller, &known.path_and_query());
--- a/crates/stacktack-direct/tests/rollout_datagrams.rs
+++ b/crates/stacktack-direct/tests/rollout_datagrams.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn without_a_roll_out_a_datagram_has_not_one_byte_more() {
+fn without_roll_outs_a_datagram_has_no_extra_bytes() {
     let (ages, reads) = (SourceAges::default(), SourceReads::default());
     let before = encode(&news(), &[], &ages, &reads).expect("a datagram");
     assert_eq!(written(&[]), before);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_is_written_of_a_roll_out_is_read() {
+fn an_encoded_roll_out_is_decoded_unchanged() {
     let rollouts = [rollout(1, 2)];
     let datagram = decode(&written(&rollouts)).expect("valid");
     assert_eq!(datagram.rollouts, rollouts);
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn without_an_order_all_versions_get_requests_and_the_store_no_call() {
+async fn without_an_order_all_versions_get_requests_and_nothing_is_stored() {
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn without_a_bound_an_order_changes_nothing() {
+async fn without_an_exposure_bound_an_order_changes_nothing() {
     on_virtual_time(async {
         let (router, store) = (served(None), Rc::new(Store::default()));
         follow(&router, &store);
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_new_version_gets_nothing_while_the_store_does_not_hold_that_it_runs() {
+async fn a_new_version_gets_no_requests_until_the_store_holds_the_rollout_as_running() {
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         store.down.set(true);
@@ -209,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn a_harmful_version_gets_nothing_at_once_though_the_store_is_down() {
+async fn a_version_with_a_regression_gets_no_more_requests_even_while_the_store_is_down() {
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
@@ -233,7 +233,7 @@
 }
 
 #[tokio::test]
-async fn a_good_version_is_completed_and_versions_may_change_afterwards() {
+async fn a_rollout_of_a_good_version_completes_and_later_all_versions_get_requests() {
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
@@ -252,7 +252,7 @@
 }
 
 #[tokio::test]
-async fn an_order_for_the_version_that_all_run_or_that_nobody_runs_takes_no_traffic_away() {
+async fn an_order_for_a_version_that_all_or_no_back_ends_run_changes_no_traffic() {
     on_virtual_time(async {
         let router = served(BOUND);
         order(&router, "v9");
@@ -271,7 +271,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_cannot_be_taken_leaves_traffic_as_it_was() {
+async fn a_refused_order_changes_no_traffic() {
     on_virtual_time(async {
         let (router, store) = (served(BOUND), Rc::new(Store::default()));
         follow(&router, &store);
--- a/crates/stacktack-direct/tests/stopping.rs
+++ b/crates/stacktack-direct/tests/stopping.rs
@@ -32,7 +32,7 @@
 
 /// A caller that reads slowly lost the end of an answer that its back end had given whole.
 #[tokio::test(start_paused = true)]
-async fn the_end_waits_for_answers_that_callers_have_not_read() {
+async fn the_process_waits_for_responses_that_callers_have_not_read() {
     let tasks = LocalSet::new();
     let test = async {
         let router = router_that_refuses_with(Bytes::from(vec![b'x'; ANSWER_BYTES]));
@@ -55,7 +55,7 @@
 
 /// A process that waited for callers to look away was killed before it had ended by itself.
 #[tokio::test(start_paused = true)]
-async fn a_grace_that_is_shortened_meanwhile_ends_the_process_sooner() {
+async fn a_grace_period_shortened_during_a_stop_ends_the_process_sooner() {
     let tasks = LocalSet::new();
     let test = async {
         let router = router_that_refuses_with(Bytes::from(vec![b'x'; ANSWER_BYTES]));
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_without_callers_ends_once_they_have_looked_away() {
+async fn a_router_without_callers_ends_after_the_deregistration_delay() {
     let router = router();
     let begun = Instant::now();
     stop(&router).await;
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -94,7 +94,7 @@
 
 /// A request whose time is over when its machine wakes ends at once, and not 8 s later.
 #[tokio::test(start_paused = true)]
-async fn what_is_past_its_limit_ends_when_the_machine_wakes() {
+async fn a_wait_past_its_deadline_ends_when_the_machine_resumes() {
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_holds_without_a_suspension_and_after_a_short_one() {
+async fn a_suspension_counts_towards_a_later_deadline() {
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
@@ -126,7 +126,7 @@
 
 /// Readings that differ by less than a moment are no suspension, also when they add up slowly.
 #[tokio::test(start_paused = true)]
-async fn clocks_that_are_read_one_after_the_other_are_no_suspension() {
+async fn small_clock_differences_do_not_count_as_a_suspension() {
     let (clock, router) = world();
     for _ in 0..3 {
         clock.suspend(Duration::from_millis(20));
@@ -140,7 +140,7 @@
 
 /// The store is asked anew at once: the call that waits there may be on a dead connection.
 #[tokio::test(start_paused = true)]
-async fn the_store_is_asked_at_once_and_believed_again_when_it_was_heard() {
+async fn after_a_suspension_the_store_is_polled_at_once_and_steady_after_the_renewal_period() {
     let local = tokio::task::LocalSet::new();
     let play = async {
         let (clock, router) = world();
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_is_never_suspended_awaits_nothing() {
+async fn without_a_suspension_no_contact_is_awaited() {
     let router = router();
     after(60_000).await;
     router.check_for_suspension();
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_nobody_is_heard_what_was_believed_holds_after_a_second() {
+async fn without_contact_knowledge_from_before_a_suspension_is_used_after_a_second() {
     let (clock, router) = world();
     clock.suspend(EIGHT);
     router.check_for_suspension();
@@ -187,7 +187,7 @@
 
 /// That no byte came while nothing could be read here says nothing of a back end.
 #[tokio::test(start_paused = true)]
-async fn a_suspension_is_no_silence_of_back_ends() {
+async fn a_suspension_does_not_count_as_silence_of_back_ends() {
     let (clock, router) = world();
     let entry = BackEndEntry {
         id: "b".to_owned(),
--- a/crates/stacktack-direct/tests/verdicts.rs
+++ b/crates/stacktack-direct/tests/verdicts.rs
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_starts_knows_what_was_set_aside_before() {
+async fn a_router_that_starts_reads_the_stored_verdicts() {
     play(async {
         let store = Rc::new(Store::default());
         store.verdicts.borrow_mut().insert(request(), 3);
@@ -156,7 +156,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_verdict_is_lifted_by_dropping_it_or_by_a_good_run() {
+async fn a_verdict_is_lifted_by_dropping_it_or_by_a_successful_run() {
     play(async {
         let store = Rc::new(Store::default());
         let router = router();
@@ -188,7 +188,7 @@
 
 /// Half of the peers fell silent: what they know comes over the store only.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_misses_its_peers_reads_each_second() {
+async fn a_router_whose_peers_fell_silent_reads_each_second() {
     play(async {
         let store = Rc::new(Store::default());
         let router = router_with(Rc::new(stacktack_direct::clock::RuntimeClock::start()));
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -227,7 +227,7 @@
 const KNOWS_FLEET: u64 = 2100;
 
 #[tokio::test(start_paused = true)]
-async fn a_drained_zone_gets_nothing_until_that_is_taken_back() {
+async fn a_drained_zone_gets_no_requests_until_it_is_undrained() {
     follow(|operator, router| async move {
         after(KNOWS_FLEET).await;
         assert_eq!(open(&router), ["one", "two"]);
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_starts_during_a_drain_knows_it_with_its_configuration() {
+async fn a_router_that_starts_during_a_drain_gets_it_with_its_configuration() {
     let operator = Rc::new(Operator::default());
     operator.configure();
     operator.drain("b", true);
@@ -268,7 +268,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn drains_are_right_after_a_history_was_forgotten() {
+async fn drains_are_correct_after_the_store_forgot_its_history() {
     follow(|operator, router| async move {
         operator.drain("b", true);
         after(SOON).await;
@@ -289,7 +289,7 @@
 /// A router that has a newer configuration from a peer goes on from its revision. What
 /// the operator asked of zones before that is read apart; without that it was never heard.
 #[tokio::test(start_paused = true)]
-async fn drains_before_a_version_that_a_peer_told_are_not_missed() {
+async fn drains_older_than_a_configuration_from_a_peer_are_not_missed() {
     follow(|operator, router| async move {
         after(SOON).await;
         operator.set_down(true);
@@ -310,7 +310,7 @@
 /// What a peer tells counts while the store says nothing; the store's later word goes
 /// first.
 #[tokio::test(start_paused = true)]
-async fn peers_tell_while_the_store_turns_the_router_away() {
+async fn drains_from_peers_apply_while_the_store_is_down_until_the_store_has_newer_ones() {
     follow(|operator, router| async move {
         after(SOON).await;
         operator.set_down(true);
@@ -337,7 +337,7 @@
 
 /// An unknown zone refuses nobody.
 #[tokio::test(start_paused = true)]
-async fn a_drain_of_a_zone_that_nobody_knows_changes_nothing() {
+async fn a_drain_of_an_unknown_zone_changes_nothing() {
     follow(|operator, router| async move {
         operator.drain("elsewhere", true);
         after(SOON).await;
