--- a/crates/stacktack-core/tests/adaptive_timeout.rs
+++ b/crates/stacktack-core/tests/adaptive_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an answer may be late before its source counts as silent.
+//! How late an answer may be before its source counts as silent.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 
 #[test]
 fn an_unknown_source_gets_the_minimum_timeout() {
-    let patience = AdaptiveTimeout::default();
-    assert_eq!(patience.timeout(false), ms(1200));
-    assert_eq!(patience.timeout(true), ms(500));
+    let timeout = AdaptiveTimeout::default();
+    assert_eq!(timeout.timeout(false), ms(1200));
+    assert_eq!(timeout.timeout(true), ms(500));
 }
 
 #[test]
 fn a_slow_source_gets_twice_its_lateness() {
-    let mut patience = AdaptiveTimeout::default();
-    patience.on_answer(ms(1360));
-    assert_eq!(patience.timeout(false), ms(2720));
-    assert_eq!(patience.timeout(true), ms(2720));
+    let mut timeout = AdaptiveTimeout::default();
+    timeout.on_answer(ms(1360));
+    assert_eq!(timeout.timeout(false), ms(2720));
+    assert_eq!(timeout.timeout(true), ms(2720));
 }
 
 #[test]
 fn the_timeout_has_a_maximum_and_falls_again_with_quick_answers() {
-    let mut patience = AdaptiveTimeout::default();
-    patience.on_answer(ms(9000));
-    assert_eq!(patience.timeout(false), ms(6000));
+    let mut timeout = AdaptiveTimeout::default();
+    timeout.on_answer(ms(9000));
+    assert_eq!(timeout.timeout(false), ms(6000));
     for _ in 0..30 {
-        patience.on_answer(ms(4));
+        timeout.on_answer(ms(4));
     }
-    assert_eq!(patience.timeout(false), ms(1200));
+    assert_eq!(timeout.timeout(false), ms(1200));
 }
--- a/crates/stacktack-core/tests/admission/simulation.rs
+++ b/crates/stacktack-core/tests/admission/simulation.rs
@@ -1,9 +1,9 @@
-//! A pool of back ends, a fleet of routers and their callers on virtual time.
+//! Simulation of a pool of back ends, a fleet of routers and their callers on virtual time.
 //!
-//! In a fleet of up to four, routers know each other's requests every quarter of a
-//! second. In a larger one they know the loads that back ends told them, in the heads of
-//! their own answers and by news from each other, as old as `tests/load_news`
-//! measures.
+//! In a fleet of up to four routers, each knows the requests in flight of the others, a
+//! quarter of a second old. In a larger fleet routers know the loads that back ends
+//! reported, in the response heads to themselves and by gossip; these reports are as old
+//! as measured in the simulation of gossiped loads.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -21,60 +21,64 @@
 
 pub const HOLD_SECONDS: f64 = 0.4;
 pub const OBJECTIVE: Duration = Duration::from_millis(400);
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const CALLER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time between two exchanges of news between routers.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two rounds of gossip between routers.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age of the counts that routers of a small fleet have of each other.
+/// Age of the counts of requests in flight that routers of a small fleet have of each other.
 const COUNTS_AGE: Duration = Duration::from_millis(250);
 
-/// Largest fleet whose routers tell each other all their requests.
-const SMALL_FLEET: usize = 4;
+/// Maximum number of routers that gossip all their requests in flight.
+const MAX_SMALL_FLEET: usize = 4;
 
-/// From here to here arrivals are a multiple of the capacity.
+/// Time from which arrivals are a multiple of the capacity.
 pub const OVERLOAD_FROM: Duration = Duration::from_secs(3);
+
+/// Time until which arrivals are a multiple of the capacity.
 pub const OVERLOAD_UNTIL: Duration = Duration::from_secs(8);
+
+/// Time after which no new callers arrive.
 const LAST_ARRIVAL: Duration = Duration::from_secs(14);
 
-/// Arrivals otherwise, as a share of the capacity.
-const CALM: f64 = 0.5;
+/// Arrivals before and after the overload, as a share of the capacity.
+const NORMAL_LOAD: f64 = 0.5;
 
-/// Width of the windows that are counted.
+/// Width of the windows in which events are counted.
 pub const WINDOW: Duration = Duration::from_millis(500);
 
 /// Callers of one route and tenant.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct CallerGroup {
     pub route: &'static str,
     /// Share of the arrivals.
     pub share: f64,
-    /// Arrivals during the overload as a multiple of its share.
+    /// Arrivals during the overload, as a multiple of the share.
     pub surge: f64,
 }
 
-/// What is played.
+/// Fleet and load of one simulation.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub routers: usize,
     pub back_ends: usize,
     pub slots: u32,
-    /// Arrivals during the overload as a multiple of the pool's capacity.
+    /// Arrivals during the overload, as a multiple of the pool's capacity.
     pub overload: f64,
-    pub kinds: Vec<Kind>,
+    pub groups: Vec<CallerGroup>,
     /// Whether routers refuse at all.
     pub admission: bool,
-    /// Routers that get no news from others, the first ones.
-    pub alone: usize,
-    /// Time from which the second half of the routers is there.
-    pub half_starts: Option<Duration>,
-    /// Share of its slots above which a back end works slower the more it runs.
+    /// Number of routers that get no gossip; these are the first ones.
+    pub isolated: usize,
+    /// Time at which the second half of the routers starts; `None` if all start at once.
+    pub second_half_starts: Option<Duration>,
+    /// Share of its slots above which a back end gets slower with each request that it runs.
     pub knee: Option<f64>,
-    /// Whether routers hear which answers to first tries are late.
-    pub hears_late: bool,
+    /// Whether routers learn which responses to first tries are late.
+    pub reports_late_responses: bool,
 }
 
-impl Plan {
+impl Scenario {
     /// Requests a second that the pool can run.
     pub fn capacity(&self) -> f64 {
         f64::from(self.slots) * self.back_ends as f64 / HOLD_SECONDS
@@ -84,45 +88,45 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Return { kind: usize },
+    Return { group: usize },
     End { back_end: usize },
-    News,
+    Gossip,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct SentRequest {
     router: usize,
-    kind: usize,
+    group: usize,
     at: Time,
     load: f64,
     returned: bool,
 }
 
-/// What became of one kind's requests.
+/// Outcomes of the requests of one caller group.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    pub asked: usize,
+pub struct GroupCounts {
+    pub requests: usize,
     pub in_time: usize,
     pub late: usize,
     pub refused_first: usize,
     pub refused_for_good: usize,
 }
 
-impl Tally {
+impl GroupCounts {
     pub fn served_share(&self) -> f64 {
-        (self.in_time + self.late) as f64 / self.asked as f64
+        (self.in_time + self.late) as f64 / self.requests as f64
     }
 }
 
-/// What happened within one window, by the time of the event.
+/// Events within one window.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
-    /// First tries that got their answer in time.
+pub struct WindowCounts {
+    /// Responses in time to first tries.
     pub first_in_time: usize,
     pub started: usize,
     pub refused: usize,
-    /// Refusals while fewer than nine of ten slots of the pool were taken.
-    pub refused_beside_room: usize,
+    /// Refusals while the pool held fewer requests than nine tenths of its slots.
+    pub refused_despite_capacity: usize,
 }
 
 struct Router {
@@ -130,59 +134,60 @@
     loads: Vec<BackEndLoad>,
 }
 
-pub struct World {
-    pub plan: Plan,
-    draw: ChaCha8Rng,
+pub struct Simulation {
+    pub scenario: Scenario,
+    random: ChaCha8Rng,
     queue: EventQueue<Event>,
     start: Time,
     routers: Vec<Router>,
-    running: Vec<VecDeque<Sent>>,
-    line: Vec<VecDeque<Sent>>,
-    /// Loads of the back ends of late, the newest last, one for each tick.
-    history: VecDeque<Vec<u32>>,
-    pub tallies: Vec<Tally>,
-    pub windows: BTreeMap<u64, Window>,
-    /// Most requests at one back end, at any time and in the first second of overload.
-    pub most_load: u32,
-    pub most_load_at_first: u32,
-    /// When refused callers were told to come back, by half second.
+    running: Vec<VecDeque<SentRequest>>,
+    waiting: Vec<VecDeque<SentRequest>>,
+    /// Recent loads of the back ends, one entry per gossip interval, the newest last.
+    load_history: VecDeque<Vec<u32>>,
+    pub group_counts: Vec<GroupCounts>,
+    pub windows: BTreeMap<u64, WindowCounts>,
+    /// Maximum number of requests at one back end.
+    pub max_load: u32,
+    /// Maximum number of requests at one back end in the first second of the overload.
+    pub max_load_in_first_second: u32,
+    /// Number of refused callers by the half second in which they may come back.
     pub returns: BTreeMap<u64, usize>,
 }
 
-impl World {
-    pub fn new(plan: Plan) -> Self {
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Self {
         let start = Time(50_000_000);
         let router = || Router {
             admission: PoolAdmission::default(),
-            loads: vec![BackEndLoad::default(); plan.back_ends],
+            loads: vec![BackEndLoad::default(); scenario.back_ends],
         };
-        let mut world = World {
-            draw: ChaCha8Rng::seed_from_u64(5),
+        let mut simulation = Simulation {
+            random: ChaCha8Rng::seed_from_u64(5),
             queue: EventQueue::new(start),
             start,
-            routers: (0..plan.routers).map(|_| router()).collect(),
-            running: vec![VecDeque::new(); plan.back_ends],
-            line: vec![VecDeque::new(); plan.back_ends],
-            history: VecDeque::new(),
-            tallies: vec![Tally::default(); plan.kinds.len()],
+            routers: (0..scenario.routers).map(|_| router()).collect(),
+            running: vec![VecDeque::new(); scenario.back_ends],
+            waiting: vec![VecDeque::new(); scenario.back_ends],
+            load_history: VecDeque::new(),
+            group_counts: vec![GroupCounts::default(); scenario.groups.len()],
             windows: BTreeMap::new(),
-            most_load: 0,
-            most_load_at_first: 0,
+            max_load: 0,
+            max_load_in_first_second: 0,
             returns: BTreeMap::new(),
-            plan,
+            scenario,
         };
-        world.queue.schedule(Duration::ZERO, Event::Arrival);
-        world.queue.schedule(Duration::ZERO, Event::News);
-        world
+        simulation.queue.schedule(Duration::ZERO, Event::Arrival);
+        simulation.queue.schedule(Duration::ZERO, Event::Gossip);
+        simulation
     }
 
     pub fn run(mut self) -> Self {
         while let Some(event) = self.queue.next() {
             match event {
-                Event::Arrival => self.arrive(),
-                Event::Return { kind } => self.offer(kind, true),
-                Event::End { back_end } => self.end(back_end),
-                Event::News => self.spread(),
+                Event::Arrival => self.on_arrival(),
+                Event::Return { group } => self.on_request(group, true),
+                Event::End { back_end } => self.on_end(back_end),
+                Event::Gossip => self.on_gossip(),
             }
         }
         self
@@ -192,94 +197,106 @@
         self.queue.now.since(self.start)
     }
 
-    fn window(&mut self) -> &mut Window {
+    fn window(&mut self) -> &mut WindowCounts {
         let number = self.since_start().as_millis() / WINDOW.as_millis();
         self.windows.entry(number as u64).or_default()
     }
 
-    fn arrive(&mut self) {
+    fn on_arrival(&mut self) {
         let since = self.since_start();
         if since > LAST_ARRIVAL {
             return;
         }
         let overloaded = since >= OVERLOAD_FROM && since < OVERLOAD_UNTIL;
-        let multiple = if overloaded { self.plan.overload } else { CALM };
+        let multiple = if overloaded {
+            self.scenario.overload
+        } else {
+            NORMAL_LOAD
+        };
         let shares: Vec<f64> = self
-            .plan
-            .kinds
+            .scenario
+            .groups
             .iter()
-            .map(|kind| kind.share * if overloaded { kind.surge } else { 1.0 })
+            .map(|group| group.share * if overloaded { group.surge } else { 1.0 })
             .collect();
-        let whole: f64 = shares.iter().sum();
-        let rate = self.plan.capacity() * multiple * whole;
-        let next = random_time(&mut self.draw, 1.0 / rate);
+        let total: f64 = shares.iter().sum();
+        let rate = self.scenario.capacity() * multiple * total;
+        let next = random_time(&mut self.random, 1.0 / rate);
         self.queue.schedule(next, Event::Arrival);
-        let mut draw: f64 = self.draw.random::<f64>() * whole;
-        let mut kind = 0;
-        while kind + 1 < shares.len() && draw >= shares[kind] {
-            draw -= shares[kind];
-            kind += 1;
+        let mut draw: f64 = self.random.random::<f64>() * total;
+        let mut group = 0;
+        while group + 1 < shares.len() && draw >= shares[group] {
+            draw -= shares[group];
+            group += 1;
         }
-        self.tallies[kind].asked += 1;
-        self.offer(kind, false);
+        self.group_counts[group].requests += 1;
+        self.on_request(group, false);
     }
 
-    /// A router that takes callers now; some get three times as many as others.
-    fn draw_router(&mut self) -> usize {
+    /// Picks a running router for a request; some routers get up to three times as many
+    /// requests as others.
+    fn pick_router(&mut self) -> usize {
         let since = self.since_start();
-        let half = self.plan.half_starts.is_some_and(|at| since < at);
-        let routers = if half {
-            self.plan.routers.div_ceil(2)
+        let half_serves = self
+            .scenario
+            .second_half_starts
+            .is_some_and(|at| since < at);
+        let routers = if half_serves {
+            self.scenario.routers.div_ceil(2)
         } else {
-            self.plan.routers
+            self.scenario.routers
         };
-        let first = self.draw.random_range(0..routers);
-        let other = self.draw.random_range(0..routers * 2);
+        let first = self.random.random_range(0..routers);
+        let other = self.random.random_range(0..routers * 2);
         first.min(other)
     }
 
-    fn offer(&mut self, kind: usize, returned: bool) {
-        let router = self.draw_router();
+    fn on_request(&mut self, group: usize, returned: bool) {
+        let router = self.pick_router();
         let now = self.queue.now;
-        let patience = if returned { PATIENCE / 2 } else { PATIENCE };
+        let timeout = if returned {
+            CALLER_TIMEOUT / 2
+        } else {
+            CALLER_TIMEOUT
+        };
         let request = AdmissionRequest {
-            route: self.plan.kinds[kind].route,
-            tenant: Some(kind as u64),
+            route: self.scenario.groups[group].route,
+            tenant: Some(group as u64),
             objective: OBJECTIVE,
-            caller_timeout: patience,
-            remaining_timeout: patience,
+            caller_timeout: timeout,
+            remaining_timeout: timeout,
             is_retry: false,
         };
-        let part: u64 = self.draw.random();
-        let Some((back_end, load)) = self.choose(router, &request, part) else {
-            self.refuse(router, kind, &request, returned);
+        let part: u64 = self.random.random();
+        let Some((back_end, load)) = self.select_back_end(router, &request, part) else {
+            self.refuse(router, group, &request, returned);
             return;
         };
         let at_router = &mut self.routers[router];
         at_router.admission.on_admitted(&request, now);
         at_router.loads[back_end].on_send(now);
-        self.line[back_end].push_back(Sent {
+        self.waiting[back_end].push_back(SentRequest {
             router,
-            kind,
+            group,
             at: now,
             load,
             returned,
         });
-        self.note_load(back_end);
-        self.start_next(back_end);
+        self.record_load(back_end);
+        self.start_waiting(back_end);
     }
 
-    /// The chosen back end and its load as the router believes; `None` when the request
-    /// is refused.
-    fn choose(
+    /// Selects a back end; returns its index and its load as expected by the router, or
+    /// `None` if the request is refused.
+    fn select_back_end(
         &mut self,
         router: usize,
         request: &AdmissionRequest<'_>,
         part: u64,
     ) -> Option<(usize, f64)> {
         let now = self.queue.now;
-        let fleet = self.plan.routers;
-        let slots = self.plan.slots;
+        let routers = self.scenario.routers;
+        let slots = self.scenario.slots;
         let Router { admission, loads } = &mut self.routers[router];
         let limit = admission.slot_limit(request, now);
         let reports: Vec<LoadReport> = loads
@@ -290,7 +307,7 @@
                 age: load.estimate_age(now),
             })
             .collect();
-        let pool = PoolLoad::from_reports(&reports).filter(|_| self.plan.admission);
+        let pool = PoolLoad::from_reports(&reports).filter(|_| self.scenario.admission);
         let hold = admission.hold_seconds().unwrap_or(HOLD_SECONDS);
         let expected =
             |report: &LoadReport| pool.map_or(report.load, |pool| pool.expected_load(report, hold));
@@ -298,7 +315,7 @@
             index,
             id_hash: index as u64,
             load: expected(report),
-            limit: if self.plan.admission && report.age.is_some() {
+            limit: if self.scenario.admission && report.age.is_some() {
                 pool.map_or(f64::INFINITY, |pool| {
                     pool.back_end_limit(limit.requests(slots))
                 })
@@ -315,166 +332,176 @@
             bounds = bounds.for_full_pool();
         }
         let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
-        let answer = pool.map(|pool| admission.decide(request, pool, fleet, now));
-        let taken = answer.is_none_or(|answer| answer == PoolDecision::Admitted);
-        (taken && chosen.has_room()).then_some((chosen.index, chosen.load))
+        let decision = pool.map(|pool| admission.decide(request, pool, routers, now));
+        let is_admitted = decision.is_none_or(|decision| decision == PoolDecision::Admitted);
+        (is_admitted && chosen.has_room()).then_some((chosen.index, chosen.load))
     }
 
     fn refuse(
         &mut self,
         router: usize,
-        kind: usize,
+        group: usize,
         request: &AdmissionRequest<'_>,
         returned: bool,
     ) {
         let now = self.queue.now;
-        let draw: f64 = self.draw.random();
+        let draw: f64 = self.random.random();
         let admission = &mut self.routers[router].admission;
-        let come_back = admission.on_refused(request, draw, now);
-        assert!(come_back <= request.remaining_timeout / 3, "{come_back:?}");
-        let held: u32 = (0..self.plan.back_ends).map(|index| self.held(index)).sum();
-        let slots = self.plan.slots * self.plan.back_ends as u32;
-        let beside_room = f64::from(held) < 0.9 * f64::from(slots);
+        let retry_after = admission.on_refused(request, draw, now);
+        assert!(
+            retry_after <= request.remaining_timeout / 3,
+            "{retry_after:?}"
+        );
+        let requests: u32 = (0..self.scenario.back_ends)
+            .map(|index| self.requests_at(index))
+            .sum();
+        let slots = self.scenario.slots * self.scenario.back_ends as u32;
+        let has_free_capacity = f64::from(requests) < 0.9 * f64::from(slots);
         let window = self.window();
         window.refused += 1;
-        window.refused_beside_room += usize::from(beside_room);
-        let tally = &mut self.tallies[kind];
+        window.refused_despite_capacity += usize::from(has_free_capacity);
+        let counts = &mut self.group_counts[group];
         if returned {
-            tally.refused_for_good += 1;
+            counts.refused_for_good += 1;
             return;
         }
-        tally.refused_first += 1;
+        counts.refused_first += 1;
         *self
             .returns
-            .entry((now + come_back).0 / 500_000)
+            .entry((now + retry_after).0 / 500_000)
             .or_insert(0) += 1;
-        self.queue.schedule(come_back, Event::Return { kind });
+        self.queue.schedule(retry_after, Event::Return { group });
     }
 
-    fn held(&self, back_end: usize) -> u32 {
-        (self.line[back_end].len() + self.running[back_end].len()) as u32
+    fn requests_at(&self, back_end: usize) -> u32 {
+        (self.waiting[back_end].len() + self.running[back_end].len()) as u32
     }
 
-    fn note_load(&mut self, back_end: usize) {
-        let held = self.held(back_end);
-        self.most_load = self.most_load.max(held);
+    fn record_load(&mut self, back_end: usize) {
+        let load = self.requests_at(back_end);
+        self.max_load = self.max_load.max(load);
         let first_second = OVERLOAD_FROM..OVERLOAD_FROM + Duration::from_secs(1);
         if first_second.contains(&self.since_start()) {
-            self.most_load_at_first = self.most_load_at_first.max(held);
+            self.max_load_in_first_second = self.max_load_in_first_second.max(load);
         }
     }
 
-    fn start_next(&mut self, back_end: usize) {
-        while self.running[back_end].len() < self.plan.slots as usize {
-            let Some(next) = self.line[back_end].pop_front() else {
+    fn start_waiting(&mut self, back_end: usize) {
+        while self.running[back_end].len() < self.scenario.slots as usize {
+            let Some(next) = self.waiting[back_end].pop_front() else {
                 return;
             };
             let now = self.queue.now;
             let waited = now.since(next.at);
-            let held = self.held(back_end) + 1;
+            let load = self.requests_at(back_end) + 1;
             let router = &mut self.routers[next.router];
-            router.loads[back_end].on_report(held, now);
-            let slowness = self.slowness(back_end);
-            let first = Duration::from_secs_f64(HOLD_SECONDS * (slowness - 1.0));
-            let in_time = waited + first <= OBJECTIVE;
-            if self.plan.hears_late && !next.returned {
+            router.loads[back_end].on_report(load, now);
+            let slowdown = self.slowdown(back_end);
+            let delay = Duration::from_secs_f64(HOLD_SECONDS * (slowdown - 1.0));
+            let in_time = waited + delay <= OBJECTIVE;
+            if self.scenario.reports_late_responses && !next.returned {
                 let router = &mut self.routers[next.router];
                 router.admission.on_first_try_response(!in_time);
             }
-            let tally = &mut self.tallies[next.kind];
-            tally.in_time += usize::from(in_time);
-            tally.late += usize::from(!in_time);
+            let counts = &mut self.group_counts[next.group];
+            counts.in_time += usize::from(in_time);
+            counts.late += usize::from(!in_time);
             let window = self.window();
             window.started += 1;
             window.first_in_time += usize::from(in_time && !next.returned);
             self.running[back_end].push_back(next);
-            let hold = Duration::from_secs_f64(HOLD_SECONDS * slowness);
+            let hold = Duration::from_secs_f64(HOLD_SECONDS * slowdown);
             self.queue.schedule(hold, Event::End { back_end });
         }
     }
 
-    /// By how much a request takes longer that starts now: past the knee a back end gives
-    /// less the more it runs.
-    fn slowness(&self, back_end: usize) -> f64 {
-        let Some(knee) = self.plan.knee else {
+    /// Factor by which the hold time of a request that starts now is longer than usual:
+    /// above the knee a back end delivers less the more requests it runs.
+    fn slowdown(&self, back_end: usize) -> f64 {
+        let Some(knee) = self.scenario.knee else {
             return 1.0;
         };
-        let fill = (self.running[back_end].len() + 1) as f64 / f64::from(self.plan.slots);
+        let fill = (self.running[back_end].len() + 1) as f64 / f64::from(self.scenario.slots);
         1.0 + 6.0 * (fill - knee).max(0.0)
     }
 
-    fn end(&mut self, back_end: usize) {
+    fn on_end(&mut self, back_end: usize) {
         let now = self.queue.now;
-        let done = self.running[back_end].pop_front().expect("running");
-        let router = &mut self.routers[done.router];
-        let slots = self.plan.slots;
+        let ended = self.running[back_end].pop_front().expect("running");
+        let router = &mut self.routers[ended.router];
+        let slots = self.scenario.slots;
         router
             .admission
-            .on_complete_response(now.since(done.at), done.load, slots);
+            .on_complete_response(now.since(ended.at), ended.load, slots);
         router.loads[back_end].on_end(now);
-        self.start_next(back_end);
+        self.start_waiting(back_end);
     }
 
-    fn spread(&mut self) {
-        let loads = (0..self.plan.back_ends).map(|index| self.held(index));
-        self.history.push_back(loads.collect());
-        if self.history.len() > 40 {
-            self.history.pop_front();
+    fn on_gossip(&mut self) {
+        let loads = (0..self.scenario.back_ends).map(|index| self.requests_at(index));
+        self.load_history.push_back(loads.collect());
+        if self.load_history.len() > 40 {
+            self.load_history.pop_front();
         }
-        if self.plan.routers <= SMALL_FLEET {
-            self.spread_counts();
+        if self.scenario.routers <= MAX_SMALL_FLEET {
+            self.exchange_counts();
         } else {
-            self.spread_told();
+            self.relay_reports();
         }
         if self.since_start() < Duration::from_secs(25) {
-            self.queue.schedule(TICK, Event::News);
+            self.queue.schedule(GOSSIP_INTERVAL, Event::Gossip);
         }
     }
 
-    /// Routers of a small fleet count each other's requests.
-    fn spread_counts(&mut self) {
-        let ticks = (COUNTS_AGE.as_millis() / TICK.as_millis()) as usize;
-        let Some(loads) = self.history.iter().rev().nth(ticks) else {
+    /// Gives the routers of a small fleet the counts of each other's requests in flight.
+    fn exchange_counts(&mut self) {
+        let intervals = (COUNTS_AGE.as_millis() / GOSSIP_INTERVAL.as_millis()) as usize;
+        let Some(loads) = self.load_history.iter().rev().nth(intervals) else {
             return;
         };
-        for router in self.routers.iter_mut().skip(self.plan.alone) {
-            for (load, held) in router.loads.iter_mut().zip(loads) {
-                let elsewhere = f64::from(*held) - f64::from(load.in_flight);
-                load.in_flight_from_peers = elsewhere.max(0.0);
+        for router in self.routers.iter_mut().skip(self.scenario.isolated) {
+            for (load, requests) in router.loads.iter_mut().zip(loads) {
+                let from_peers = f64::from(*requests) - f64::from(load.in_flight);
+                load.in_flight_from_peers = from_peers.max(0.0);
                 load.peer_counts_are_fresh = true;
             }
         }
     }
 
-    /// Each router of a large fleet hears some loads that back ends told of late.
-    fn spread_told(&mut self) {
+    /// Gives each router of a large fleet some of the loads that back ends reported recently.
+    fn relay_reports(&mut self) {
         let now = self.queue.now;
-        let mean_age = 0.25 + 0.12 * (self.plan.routers as f64).ln();
-        let each = self.plan.back_ends as f64 * TICK.as_secs_f64() / mean_age;
-        for router in self.routers.iter_mut().skip(self.plan.alone) {
-            let whole = each as usize;
-            let one_more = self.draw.random::<f64>() < each.fract();
-            for _ in 0..whole + usize::from(one_more) {
-                let back_end = self.draw.random_range(0..self.plan.back_ends);
-                let age = random_time(&mut self.draw, mean_age / 2.0);
-                let ticks = (age.as_millis() / TICK.as_millis()) as usize;
-                let Some(loads) = self.history.iter().rev().nth(ticks) else {
+        let mean_age = 0.25 + 0.12 * (self.scenario.routers as f64).ln();
+        let reports = self.scenario.back_ends as f64 * GOSSIP_INTERVAL.as_secs_f64() / mean_age;
+        for router in self.routers.iter_mut().skip(self.scenario.isolated) {
+            let whole = reports as usize;
+            let has_extra = self.random.random::<f64>() < reports.fract();
+            for _ in 0..whole + usize::from(has_extra) {
+                let back_end = self.random.random_range(0..self.scenario.back_ends);
+                let age = random_time(&mut self.random, mean_age / 2.0);
+                let intervals = (age.as_millis() / GOSSIP_INTERVAL.as_millis()) as usize;
+                let Some(loads) = self.load_history.iter().rev().nth(intervals) else {
                     continue;
                 };
-                let told_at = now - TICK * ticks as u32;
-                router.loads[back_end].on_report(loads[back_end], told_at);
+                let reported_at = now - GOSSIP_INTERVAL * intervals as u32;
+                router.loads[back_end].on_report(loads[back_end], reported_at);
             }
         }
     }
 
-    pub fn sum(&self, of: impl Fn(&Tally) -> usize) -> usize {
-        self.tallies.iter().map(of).sum()
+    pub fn sum_groups(&self, value: impl Fn(&GroupCounts) -> usize) -> usize {
+        self.group_counts.iter().map(value).sum()
     }
 
-    /// Sum over windows from one time to another.
-    pub fn count(&self, from: Duration, until: Duration, of: impl Fn(&Window) -> usize) -> usize {
+    /// Sum over the windows from `from` until `until`.
+    pub fn sum_windows(
+        &self,
+        from: Duration,
+        until: Duration,
+        value: impl Fn(&WindowCounts) -> usize,
+    ) -> usize {
         let number = |at: Duration| (at.as_millis() / WINDOW.as_millis()) as u64;
         let windows = self.windows.range(number(from)..number(until));
-        windows.map(|(_, window)| of(window)).sum()
+        windows.map(|(_, window)| value(window)).sum()
     }
 }
--- a/crates/stacktack-core/tests/bootstrap_push.rs
+++ b/crates/stacktack-core/tests/bootstrap_push.rs
@@ -1,9 +1,12 @@
-//! How soon routers that start hear of others that know, on virtual time.
+//! A router that starts must soon hear of a peer that has the configuration and the directory,
+//! since it refuses all requests until then.
 //!
-//! The story. Twenty routers started within 50 ms. Those that everybody knows from the settings read the
-//! store after 1 ms and told the others, all in the same order, until the bytes of a second were spent: the
-//! last ones heard of it after 160 to 310 ms and refused all that came meanwhile. One that started alone
-//! waited until the others had saved bytes for it: 80 to 160 ms.
+//! When twenty routers started within 50 ms, the seeds read the store after 1 ms and pushed to
+//! the others, all in the same order, until the byte budget of a second was spent. The last
+//! routers heard of it after 160 to 310 ms. A router that joined a running fleet waited 80 to
+//! 160 ms, until the others had saved enough bytes for a push.
+//!
+//! The fleets are simulated on virtual time.
 
 mod event_queue;
 mod gossip;
@@ -19,56 +22,58 @@
 use event_queue::{random_time, EventQueue};
 use gossip::{peers, Network, DELAY, INTERVAL, OTHER_BYTES};
 
-/// Time between two pushes.
-const BETWEEN_PUSHES: Duration = Duration::from_millis(20);
+/// Minimum time between two pushes of one router.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time that a router takes to read the store or a peer's document.
-const READ: Duration = Duration::from_millis(2);
+/// Time that a router takes to read the store, or the snapshot of a peer.
+const READ_TIME: Duration = Duration::from_millis(2);
 
-/// Mean time until a router of a fleet starts, in seconds.
-const STARTS: f64 = 0.02;
+/// Mean time after which a router of a starting fleet starts, in seconds.
+const MEAN_START_SECONDS: f64 = 0.02;
 
-/// Bytes of ages beside other news.
-const AGE_BYTES: usize = 20;
+/// Bytes of the source ages in a datagram, which is all that pushes and uninitialized routers
+/// send besides the gossip.
+const AGES_BYTES: usize = 20;
 
-/// Routers that everybody knows from the settings.
+/// Number of routers that all others know from the settings.
 const SEEDS: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Start(usize),
-    Tick { router: usize, life: u32 },
-    Push { router: usize, life: u32 },
+    Tick { router: usize, incarnation: u32 },
+    Push { router: usize, incarnation: u32 },
     Arrive { to: usize, datagram: u64 },
-    Read { router: usize, life: u32 },
+    Read { router: usize, incarnation: u32 },
 }
 
 struct Router {
     peers: Peers,
-    /// Starts so far; 0 before the first one.
-    life: u32,
+    /// Number of starts so far; 0 before the first one.
+    incarnation: u32,
     started: Time,
-    knew: Option<Time>,
-    reads: bool,
-    /// Learns nothing from others.
+    /// When the router had read the configuration and the directory.
+    initialized_at: Option<Time>,
+    is_reading: bool,
+    /// Never reads the store or a snapshot.
     is_cut_off: bool,
-    news_is_due: bool,
-    pushed: Option<Time>,
-    push_is_planned: bool,
+    spread_is_due: bool,
+    last_push: Option<Time>,
+    is_push_scheduled: bool,
 }
 
 impl Router {
-    fn new(peers: Peers, life: u32, now: Time) -> Self {
+    fn new(peers: Peers, incarnation: u32, now: Time) -> Self {
         Router {
             peers,
-            life,
+            incarnation,
             started: now,
-            knew: None,
-            reads: false,
+            initialized_at: None,
+            is_reading: false,
             is_cut_off: false,
-            news_is_due: false,
-            pushed: None,
-            push_is_planned: false,
+            spread_is_due: false,
+            last_push: None,
+            is_push_scheduled: false,
         }
     }
 }
@@ -81,13 +86,16 @@
 }
 
 impl Fleet {
-    /// Routers that all start within a moment.
+    /// Creates a fleet whose routers all start at about the same time.
     fn starting(count: usize, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut queue = EventQueue::new(Time(1_000_000));
         let routers = (0..count)
             .map(|number| {
-                queue.schedule(random_time(&mut random, STARTS), Event::Start(number));
+                queue.schedule(
+                    random_time(&mut random, MEAN_START_SECONDS),
+                    Event::Start(number),
+                );
                 let peers = peers(number, count, &mut random, queue.now);
                 Router::new(peers, 0, queue.now)
             })
@@ -108,84 +116,95 @@
             };
             match event {
                 Event::Start(router) => self.start(router),
-                Event::Tick { router, life } if self.lives(router, life) => self.tick(router),
-                Event::Push { router, life } if self.lives(router, life) => self.push(router),
-                Event::Read { router, life } if self.lives(router, life) => self.know(router),
+                Event::Tick {
+                    router,
+                    incarnation,
+                } if self.is_current(router, incarnation) => self.tick(router),
+                Event::Push {
+                    router,
+                    incarnation,
+                } if self.is_current(router, incarnation) => self.push(router),
+                Event::Read {
+                    router,
+                    incarnation,
+                } if self.is_current(router, incarnation) => self.on_read(router),
                 Event::Arrive { to, datagram } => self.receive(to, datagram),
                 Event::Tick { .. } | Event::Push { .. } | Event::Read { .. } => {}
             }
         }
     }
 
-    fn lives(&self, router: usize, life: u32) -> bool {
-        self.routers[router].life == life
+    fn is_current(&self, router: usize, incarnation: u32) -> bool {
+        self.routers[router].incarnation == incarnation
     }
 
     fn start(&mut self, number: usize) {
         let now = self.queue.now;
         let fleet = self.routers.len();
         let peers = peers(number, fleet, &mut self.random, now);
-        let life = self.routers[number].life + 1;
-        self.routers[number] = Router::new(peers, life, now);
+        let incarnation = self.routers[number].incarnation + 1;
+        self.routers[number] = Router::new(peers, incarnation, now);
         if number < SEEDS {
             self.read(number);
         }
         self.tick(number);
     }
 
-    fn own_news(&self, number: usize) -> OwnGossip {
-        let knows = self.routers[number].knew.is_some();
+    fn own_gossip(&self, number: usize) -> OwnGossip {
+        let is_initialized = self.routers[number].initialized_at.is_some();
         OwnGossip {
-            configuration: u64::from(knows),
-            directory: u64::from(knows),
-            directory_steady: knows,
-            serving: knows,
+            configuration: u64::from(is_initialized),
+            directory: u64::from(is_initialized),
+            directory_steady: is_initialized,
+            serving: is_initialized,
             ..OwnGossip::default()
         }
     }
 
     fn tick(&mut self, number: usize) {
-        let life = self.routers[number].life;
+        let incarnation = self.routers[number].incarnation;
         let next = Event::Tick {
             router: number,
-            life,
+            incarnation,
         };
         self.queue.schedule(INTERVAL, next);
-        let own = self.own_news(number);
+        let own = self.own_gossip(number);
         let outgoing = self.routers[number].peers.tick(&own, self.queue.now);
-        let other = if self.routers[number].knew.is_some() {
+        let other_bytes = if self.routers[number].initialized_at.is_some() {
             OTHER_BYTES
         } else {
-            AGE_BYTES
+            AGES_BYTES
         };
-        self.send(number, outgoing, other);
+        self.send(number, outgoing, other_bytes);
     }
 
-    fn plan_push(&mut self, number: usize) {
+    fn schedule_push(&mut self, number: usize) {
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        if router.push_is_planned {
+        if router.is_push_scheduled {
             return;
         }
-        router.push_is_planned = true;
-        let life = router.life;
-        let since = router.pushed.map(|pushed| now.since(pushed));
-        let left = since.map_or(Duration::ZERO, |since| BETWEEN_PUSHES.saturating_sub(since));
+        router.is_push_scheduled = true;
+        let incarnation = router.incarnation;
+        let elapsed = router.last_push.map(|at| now.since(at));
+        let delay = elapsed.map_or(Duration::ZERO, |elapsed| {
+            MIN_PUSH_INTERVAL.saturating_sub(elapsed)
+        });
         let push = Event::Push {
             router: number,
-            life,
+            incarnation,
         };
-        self.queue.schedule(left, push);
+        self.queue.schedule(delay, push);
     }
 
     fn push(&mut self, number: usize) {
-        let own = self.own_news(number);
+        let own = self.own_gossip(number);
         let router = &mut self.routers[number];
-        router.push_is_planned = false;
-        router.pushed = Some(self.queue.now);
-        let spread = std::mem::take(&mut router.news_is_due);
+        router.is_push_scheduled = false;
+        router.last_push = Some(self.queue.now);
+        let spread = std::mem::take(&mut router.spread_is_due);
         let outgoing = router.peers.push(&own, spread, &mut self.random);
-        self.send(number, outgoing, AGE_BYTES);
+        self.send(number, outgoing, AGES_BYTES);
     }
 
     fn send(&mut self, number: usize, outgoing: Vec<OutgoingDatagram>, other_bytes: usize) {
@@ -202,48 +221,51 @@
     }
 
     fn receive(&mut self, to: usize, datagram: u64) {
-        let (news, ()) = self.network.arrive(datagram);
+        let (gossip, ()) = self.network.arrive(datagram);
         let router = &mut self.routers[to];
-        if router.life == 0 {
+        if router.incarnation == 0 {
             return;
         }
-        router.peers.receive(&news, self.queue.now);
-        if router.knew.is_some() && router.peers.has_uninitialized_peers() {
-            self.plan_push(to);
-        } else if router.knew.is_none() && news.configuration > 0 {
+        router.peers.receive(&gossip, self.queue.now);
+        if router.initialized_at.is_some() && router.peers.has_uninitialized_peers() {
+            self.schedule_push(to);
+        } else if router.initialized_at.is_none() && gossip.configuration > 0 {
             self.read(to);
         }
     }
 
     fn read(&mut self, number: usize) {
         let router = &mut self.routers[number];
-        if !router.is_cut_off && !std::mem::replace(&mut router.reads, true) {
-            let life = router.life;
+        if !router.is_cut_off && !std::mem::replace(&mut router.is_reading, true) {
+            let incarnation = router.incarnation;
             let read = Event::Read {
                 router: number,
-                life,
+                incarnation,
             };
-            self.queue.schedule(READ, read);
+            self.queue.schedule(READ_TIME, read);
         }
     }
 
-    fn know(&mut self, number: usize) {
+    fn on_read(&mut self, number: usize) {
         let now = self.queue.now;
         let router = &mut self.routers[number];
-        router.knew = Some(now);
-        router.news_is_due = true;
-        self.plan_push(number);
+        router.initialized_at = Some(now);
+        router.spread_is_due = true;
+        self.schedule_push(number);
     }
 
-    /// How long after its start a router knew.
-    fn waited(&self, number: usize) -> Duration {
+    /// Time from the start of a router until it was initialized, or until now.
+    fn initialization_time(&self, number: usize) -> Duration {
         let router = &self.routers[number];
-        router.knew.unwrap_or(self.queue.now).since(router.started)
+        router
+            .initialized_at
+            .unwrap_or(self.queue.now)
+            .since(router.started)
     }
 
-    fn longest_wait(&self) -> Duration {
-        let waits = (0..self.routers.len()).map(|number| self.waited(number));
-        waits.max().unwrap_or_default()
+    fn max_initialization_time(&self) -> Duration {
+        let times = (0..self.routers.len()).map(|number| self.initialization_time(number));
+        times.max().unwrap_or_default()
     }
 }
 
@@ -253,7 +275,7 @@
         for seed in 0..40 {
             let mut fleet = Fleet::starting(count, seed);
             fleet.run_for(Duration::from_millis(3000));
-            let longest = fleet.longest_wait();
+            let longest = fleet.max_initialization_time();
             assert!(
                 longest < Duration::from_millis(bound),
                 "{count} routers, seed {seed}: {longest:?}"
@@ -265,7 +287,7 @@
 #[test]
 fn a_router_that_joins_a_running_fleet_is_initialized_at_once() {
     for count in [4, 20, 103, 357] {
-        let mut waits = Vec::new();
+        let mut times = Vec::new();
         for seed in 0..10 {
             let mut fleet = Fleet::starting(count, seed);
             fleet.run_for(Duration::from_secs(9));
@@ -273,16 +295,17 @@
                 let number = fleet.random.random_range(SEEDS..count);
                 fleet.start(number);
                 fleet.run_for(Duration::from_secs(2));
-                waits.push(fleet.waited(number));
+                times.push(fleet.initialization_time(number));
             }
         }
-        waits.sort();
-        // A datagram may be lost.
-        assert!(waits[40] < Duration::from_millis(20), "{count}: {waits:?}");
+        times.sort();
+        // Some take longer, since datagrams may be lost.
+        assert!(times[40] < Duration::from_millis(20), "{count}: {times:?}");
     }
 }
 
-/// They are told again and again what they do not take, and the others still hear each other.
+/// Cut-off routers get bootstrap pushes again and again. These must not use up the byte budget
+/// that the other routers need to hear each other.
 #[test]
 fn routers_that_stay_uninitialized_do_not_silence_the_others() {
     for seed in 0..5 {
@@ -294,8 +317,8 @@
         }
         fleet.run_for(Duration::from_secs(20));
         for router in &mut fleet.routers[..12] {
-            let news = OwnGossip::default();
-            router.peers.tick(&news, fleet.queue.now);
+            let gossip = OwnGossip::default();
+            router.peers.tick(&gossip, fleet.queue.now);
             assert_eq!(router.peers.live_count(), 23, "seed {seed}");
         }
     }
--- a/crates/stacktack-core/tests/event_queue/mod.rs
+++ b/crates/stacktack-core/tests/event_queue/mod.rs
@@ -1,4 +1,4 @@
-//! Virtual time for tests: events in the order in which they are due.
+//! Virtual time for simulations: events in the order in which they are due.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,10 +8,11 @@
 use rand_chacha::ChaCha8Rng;
 use stacktack_core::time::Time;
 
-/// Events that are still to come, and the time.
+/// Events that are still to come, and the current virtual time.
 pub struct EventQueue<E> {
     /// The time of the last event.
     pub now: Time,
+    /// Number of events scheduled so far; events of the same time keep their order.
     count: u64,
     events: BinaryHeap<Reverse<(Time, u64, E)>>,
 }
@@ -31,7 +32,7 @@
             .push(Reverse((self.now + after, self.count, event)));
     }
 
-    /// The next event; the time moves on to it.
+    /// Removes the next event and advances the time to it.
     pub fn next(&mut self) -> Option<E> {
         let Reverse((at, _, event)) = self.events.pop()?;
         self.now = at;
@@ -40,7 +41,7 @@
 }
 
 /// A time drawn from an exponential distribution.
-pub fn random_time(draw: &mut ChaCha8Rng, mean_seconds: f64) -> Duration {
-    let draw: f64 = draw.random();
+pub fn random_time(random: &mut ChaCha8Rng, mean_seconds: f64) -> Duration {
+    let draw: f64 = random.random();
     Duration::from_secs_f64(-(1.0 - draw).ln() * mean_seconds)
 }
--- a/crates/stacktack-core/tests/gossip/mod.rs
+++ b/crates/stacktack-core/tests/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Datagrams between routers on virtual time: some are lost, the others take a moment.
+//! Network between simulated routers: some datagrams are lost, the others arrive after a delay.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 use stacktack_core::direct::peers::{OutgoingDatagram, Peers};
 use stacktack_core::time::Time;
 
-/// Time between rounds of news.
+/// Time between two rounds of gossip.
 pub const INTERVAL: Duration = Duration::from_millis(100);
 
-/// One way between two routers.
+/// Time that a datagram takes from one router to another.
 pub const DELAY: Duration = Duration::from_millis(2);
 
 /// Share of the datagrams that are lost.
 const LOSS: f64 = 0.03;
 
-/// Bytes of news that a router sends in a second.
+/// Byte budget of a router for its gossip, per second.
 const BYTES_PER_SECOND: f64 = 1800.0;
 
-/// What else a datagram carries in a busy fleet, in bytes.
+/// Bytes that a datagram carries besides its gossip in a busy fleet.
 pub const OTHER_BYTES: usize = 250;
 
-/// Address of a router by its number.
+/// Address of the router with the given number.
 pub fn address(number: usize) -> SocketAddr {
     let [third, last] = [(number / 250) as u8, (number % 250) as u8 + 1];
     SocketAddr::from(([10, 0, third, last], 7340))
 }
 
-/// Number of the router with an address.
+/// Number of the router with the given address.
 #[allow(
     dead_code,
     reason = "not all tests that share this module look routers up"
@@ -42,11 +42,11 @@
             let [_, _, third, last] = address.ip().octets();
             usize::from(third) * 250 + usize::from(last) - 1
         }
-        SocketAddr::V6(_) => unreachable!("addresses here are of the fourth version"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
     }
 }
 
-/// The peers of a router that knows the first three routers of a fleet.
+/// Gossip state of a router whose seeds are the first three routers of its fleet.
 pub fn peers(number: usize, fleet: usize, random: &mut ChaCha8Rng, now: Time) -> Peers {
     let seeds: Vec<SocketAddr> = (0..fleet.min(3)).map(address).collect();
     Peers::new(
@@ -59,32 +59,32 @@
     )
 }
 
-/// Datagrams under way, each with something beside its news.
+/// Datagrams in flight, each with an attachment of the test.
 pub struct Network<T> {
     addresses: HashMap<SocketAddr, usize>,
-    under_way: HashMap<u64, (PeerGossip, T)>,
+    in_flight: HashMap<u64, (PeerGossip, T)>,
     sent: u64,
 }
 
 impl<T> Network<T> {
-    /// Between so many routers.
+    /// Creates a network between a number of routers.
     pub fn new(routers: usize) -> Self {
         Network {
             addresses: (0..routers)
                 .map(|number| (address(number), number))
                 .collect(),
-            under_way: HashMap::new(),
+            in_flight: HashMap::new(),
             sent: 0,
         }
     }
 
-    /// Sends a datagram with so many other bytes; returns to which router, and its number, unless it
-    /// is lost.
+    /// Sends a datagram, which counts as `other_bytes` larger than its gossip. Returns the number
+    /// of its receiver and its own number, or `None` if it is lost.
     pub fn send_with(
         &mut self,
         from: &mut Peers,
         outgoing: &OutgoingDatagram,
-        beside: T,
+        attachment: T,
         other_bytes: usize,
         random: &mut ChaCha8Rng,
     ) -> Option<(usize, u64)> {
@@ -93,14 +93,14 @@
         if random.random::<f64>() < LOSS {
             return None;
         }
-        let news = postcard::from_bytes(&bytes).expect("parses");
+        let gossip = postcard::from_bytes(&bytes).expect("parses");
         self.sent += 1;
-        self.under_way.insert(self.sent, (news, beside));
+        self.in_flight.insert(self.sent, (gossip, attachment));
         Some((self.addresses[&outgoing.to], self.sent))
     }
 
-    /// A datagram arrives.
+    /// Takes an arriving datagram out of the network.
     pub fn arrive(&mut self, datagram: u64) -> (PeerGossip, T) {
-        self.under_way.remove(&datagram).expect("is under way")
+        self.in_flight.remove(&datagram).expect("is in flight")
     }
 }
--- a/crates/stacktack-core/tests/planned_stop.rs
+++ b/crates/stacktack-core/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! What routers take between a stop signal and their end, on virtual time.
+//! A stopping router may admit a request only if its response is complete before the process
+//! ends; otherwise the response is cut.
 
 use std::time::Duration;
 
@@ -20,10 +21,10 @@
     Time(0) + milliseconds(count)
 }
 
-fn decide(limit: Duration, longest_run: Option<Duration>, now: Time) -> StopAdmission {
+fn decide(timeout: Duration, longest_run: Option<Duration>, now: Time) -> StopAdmission {
     let stop = PlannedStop::new(at(0), GRACE);
     let request = RequestTiming {
-        deadline: now + limit,
+        deadline: now + timeout,
         longest_run,
     };
     stop.decide(&request, now)
@@ -31,31 +32,37 @@
 
 #[test]
 fn a_request_is_admitted_while_its_deadline_precedes_the_end() {
-    let limit = milliseconds(3000);
+    let timeout = milliseconds(3000);
     let slow = Some(milliseconds(9000));
-    assert_eq!(decide(limit, slow, at(0)), StopAdmission::FitsByDeadline);
-    assert_eq!(decide(limit, slow, at(4700)), StopAdmission::FitsByDeadline);
-    assert_eq!(decide(limit, slow, at(4701)), StopAdmission::TooLong);
+    assert_eq!(decide(timeout, slow, at(0)), StopAdmission::FitsByDeadline);
+    assert_eq!(
+        decide(timeout, slow, at(4700)),
+        StopAdmission::FitsByDeadline
+    );
+    assert_eq!(decide(timeout, slow, at(4701)), StopAdmission::TooLong);
 }
 
 #[test]
 fn a_longer_request_is_admitted_by_recent_runs_until_deregistration() {
-    let limit = milliseconds(10_000);
+    let timeout = milliseconds(10_000);
     let usual = Some(milliseconds(4000));
-    assert_eq!(decide(limit, usual, at(0)), StopAdmission::FitsByRecentRuns);
     assert_eq!(
-        decide(limit, usual, at(2599)),
+        decide(timeout, usual, at(0)),
         StopAdmission::FitsByRecentRuns
     );
-    assert_eq!(decide(limit, usual, at(2600)), StopAdmission::TooLong);
+    assert_eq!(
+        decide(timeout, usual, at(2599)),
+        StopAdmission::FitsByRecentRuns
+    );
+    assert_eq!(decide(timeout, usual, at(2600)), StopAdmission::TooLong);
     let slow = Some(milliseconds(6000));
     assert_eq!(
-        decide(limit, slow, at(1699)),
+        decide(timeout, slow, at(1699)),
         StopAdmission::FitsByRecentRuns
     );
-    assert_eq!(decide(limit, slow, at(1700)), StopAdmission::TooLong);
+    assert_eq!(decide(timeout, slow, at(1700)), StopAdmission::TooLong);
     assert_eq!(
-        decide(limit, None, at(2599)),
+        decide(timeout, None, at(2599)),
         StopAdmission::FitsByRecentRuns
     );
 }
@@ -93,7 +100,7 @@
     assert!(stop.may_retry(&short, at(7600)));
 }
 
-/// Callers were told to come back after 11 s, where the process ended after 3 s.
+/// Refused callers were told to come back after 11 s, although the process ended after 3 s.
 #[test]
 fn a_successor_is_expected_soon_after_the_end_at_the_latest() {
     let stop = PlannedStop::new(at(0), GRACE);
@@ -103,162 +110,173 @@
     assert_eq!(after_runs(60_000), at(8600));
 }
 
-/// One kind of request: how long callers wait, and how long a run takes beyond a fixed part.
-struct Kind {
-    limit: Duration,
-    fixed: Duration,
-    mean_more: Duration,
+/// Class of requests: how long callers wait, and how long a run takes at least and, on average,
+/// beyond that.
+struct RequestClass {
+    timeout: Duration,
+    min_run: Duration,
+    mean_extra: Duration,
 }
 
-const KINDS: [Kind; 3] = [
-    Kind {
-        limit: Duration::from_millis(10_000),
-        fixed: Duration::from_millis(600),
-        mean_more: Duration::from_millis(700),
+const CLASSES: [RequestClass; 3] = [
+    RequestClass {
+        timeout: Duration::from_millis(10_000),
+        min_run: Duration::from_millis(600),
+        mean_extra: Duration::from_millis(700),
     },
-    Kind {
-        limit: Duration::from_millis(8000),
-        fixed: Duration::from_millis(300),
-        mean_more: Duration::from_millis(500),
+    RequestClass {
+        timeout: Duration::from_millis(8000),
+        min_run: Duration::from_millis(300),
+        mean_extra: Duration::from_millis(500),
     },
-    Kind {
-        limit: Duration::from_millis(2500),
-        fixed: Duration::from_millis(50),
-        mean_more: Duration::from_millis(100),
+    RequestClass {
+        timeout: Duration::from_millis(2500),
+        min_run: Duration::from_millis(50),
+        mean_extra: Duration::from_millis(100),
     },
 ];
 
 struct Run {
-    kind: usize,
-    taken: Time,
-    ends: Time,
+    class: usize,
+    admitted_at: Time,
+    ends_at: Time,
     id: RunId,
 }
 
 #[derive(Default)]
 struct Router {
-    times: [RunTimes; KINDS.len()],
-    under_way: Vec<Run>,
+    times: [RunTimes; CLASSES.len()],
+    in_flight: Vec<Run>,
     stop: Option<PlannedStop>,
 }
 
 impl Router {
     fn end_runs(&mut self, now: Time) {
         let times = &mut self.times;
-        self.under_way.retain(|run| {
-            let under_way = now < run.ends;
-            if !under_way {
-                times[run.kind].end(run.id, true, now);
+        self.in_flight.retain(|run| {
+            let is_running = now < run.ends_at;
+            if !is_running {
+                times[run.class].end(run.id, true, now);
             }
-            under_way
+            is_running
         });
     }
 
-    fn offer(&mut self, kind: usize, takes: Duration, now: Time) -> bool {
-        let times = &self.times[kind];
-        let taken = self.stop.is_none_or(|stop| {
+    fn on_request(&mut self, class: usize, duration: Duration, now: Time) -> bool {
+        let times = &self.times[class];
+        let admitted = self.stop.is_none_or(|stop| {
             let request = RequestTiming {
-                deadline: now + KINDS[kind].limit,
+                deadline: now + CLASSES[class].timeout,
                 longest_run: times.longest(now),
             };
             stop.decide(&request, now).is_admitted()
         });
-        if !taken {
+        if !admitted {
             return false;
         }
-        self.under_way.push(Run {
-            kind,
-            taken: now,
-            ends: now + takes.min(KINDS[kind].limit),
-            id: self.times[kind].begin(now),
+        self.in_flight.push(Run {
+            class,
+            admitted_at: now,
+            ends_at: now + duration.min(CLASSES[class].timeout),
+            id: self.times[class].begin(now),
         });
         true
     }
 }
 
 #[derive(Debug, Default)]
-struct Outcome {
-    /// Answers cut of requests that were taken before the signal,
-    cut_of_before: usize,
-    /// while callers were still sent there,
-    cut_while_sent: usize,
-    /// and later.
-    cut_of_later: usize,
-    taken_after_signal: usize,
-    short_taken_late: usize,
+struct Counts {
+    /// Cut responses to requests that were admitted before the signal.
+    cut_admitted_before_signal: usize,
+    /// Cut responses to requests that were admitted while callers still sent to the router.
+    cut_admitted_before_deregistration: usize,
+    /// Cut responses to requests that were admitted later.
+    cut_admitted_after_deregistration: usize,
+    admitted_after_signal: usize,
+    short_admitted_after_deregistration: usize,
 }
 
-/// When the first router is told to stop, in milliseconds.
-const SIGNAL: u64 = 10_000;
+/// Time of the stop signal to the first router, in milliseconds.
+const FIRST_SIGNAL_MS: u64 = 10_000;
 
-/// Routers stop one after the other; from `slow_from` on runs take `slower` times as long.
-fn play(routers: usize, gap: Duration, slow_from: Time, slower: f64, seed: u64) -> Outcome {
+/// Simulates routers that stop one after the other. From `slow_from` on, runs take `slowdown`
+/// times as long.
+fn run(routers: usize, gap: Duration, slow_from: Time, slowdown: f64, seed: u64) -> Counts {
     const REQUESTS_PER_TICK: usize = 2;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet: Vec<Router> = (0..routers).map(|_| Router::default()).collect();
-    let mut outcome = Outcome::default();
-    let over = SIGNAL + (gap * routers as u32 + GRACE).as_millis() as u64;
-    for now in (0..over).step_by(10) {
+    let mut counts = Counts::default();
+    let end = FIRST_SIGNAL_MS + (gap * routers as u32 + GRACE).as_millis() as u64;
+    for now in (0..end).step_by(10) {
         let now = at(now);
         for (number, router) in fleet.iter_mut().enumerate() {
-            let signal = at(SIGNAL) + gap * number as u32;
+            let signal = at(FIRST_SIGNAL_MS) + gap * number as u32;
             if now >= signal && router.stop.is_none() {
                 router.stop = Some(PlannedStop::new(signal, GRACE));
             }
             router.end_runs(now);
             if let Some(stop) = router.stop.filter(|stop| now >= stop.end()) {
-                for run in router.under_way.drain(..) {
-                    let cut = match run.taken {
-                        taken if taken < signal => &mut outcome.cut_of_before,
-                        taken if taken < stop.deregistered_at() => &mut outcome.cut_while_sent,
-                        _ => &mut outcome.cut_of_later,
+                for run in router.in_flight.drain(..) {
+                    let cut = match run.admitted_at {
+                        admitted_at if admitted_at < signal => {
+                            &mut counts.cut_admitted_before_signal
+                        }
+                        admitted_at if admitted_at < stop.deregistered_at() => {
+                            &mut counts.cut_admitted_before_deregistration
+                        }
+                        _ => &mut counts.cut_admitted_after_deregistration,
                     };
                     *cut += 1;
                 }
                 continue;
             }
             for _ in 0..REQUESTS_PER_TICK {
-                let kind = random.random_range(0..KINDS.len());
+                let class = random.random_range(0..CLASSES.len());
                 let draw: f64 = random.random();
-                let factor = if now >= slow_from { slower } else { 1.0 };
-                let more = KINDS[kind].mean_more.mul_f64(-(1.0 - draw).ln());
-                let takes = (KINDS[kind].fixed + more).mul_f64(factor);
-                if router.offer(kind, takes, now) && now >= signal {
-                    outcome.taken_after_signal += 1;
-                    let late = now >= signal + DEREGISTRATION_DELAY;
-                    outcome.short_taken_late += usize::from(late && kind == 2);
+                let factor = if now >= slow_from { slowdown } else { 1.0 };
+                let extra = CLASSES[class].mean_extra.mul_f64(-(1.0 - draw).ln());
+                let duration = (CLASSES[class].min_run + extra).mul_f64(factor);
+                if router.on_request(class, duration, now) && now >= signal {
+                    counts.admitted_after_signal += 1;
+                    let deregistered = now >= signal + DEREGISTRATION_DELAY;
+                    counts.short_admitted_after_deregistration +=
+                        usize::from(deregistered && class == 2);
                 }
             }
         }
     }
-    outcome
+    counts
 }
 
-/// Routers took requests by the time since the signal, whatever time their answers needed.
+/// Responses were cut at the end of the process when routers admitted requests by the time since
+/// the signal, however long the responses took.
 #[test]
 fn no_response_is_cut_of_requests_admitted_after_deregistration() {
     for (routers, gap) in [(1, 0), (4, 700), (24, 300)] {
-        for (slower, slow_from) in [(1.0, 0), (4.0, 0), (4.0, 2000), (4.0, 4000)] {
-            let slow_from = at(SIGNAL + slow_from);
-            let outcome = play(routers, milliseconds(gap), slow_from, slower, 7);
-            let seen = format!("{routers} routers, gap {gap}, {slower} times as slow from {slow_from:?}: {outcome:?}");
-            assert_eq!(outcome.cut_of_later, 0, "{seen}");
-            assert!(outcome.short_taken_late > 150 * routers, "{seen}");
+        for (slowdown, slow_from) in [(1.0, 0), (4.0, 0), (4.0, 2000), (4.0, 4000)] {
+            let slow_from = at(FIRST_SIGNAL_MS + slow_from);
+            let counts = run(routers, milliseconds(gap), slow_from, slowdown, 7);
+            let description = format!("{routers} routers, gap {gap}, {slowdown} times as slow from {slow_from:?}: {counts:?}");
+            assert_eq!(counts.cut_admitted_after_deregistration, 0, "{description}");
+            assert!(
+                counts.short_admitted_after_deregistration > 150 * routers,
+                "{description}"
+            );
         }
     }
 }
 
-/// Of those that are taken by experience few run for longer than the longest of late.
+/// Few of the requests that are admitted by recent runs take longer than the longest of these.
 #[test]
 fn a_planned_stop_cuts_few_responses_of_steady_back_ends_however_long_runs_take() {
     for seed in 0..5 {
-        for slower in [1.0, 2.0, 4.0, 8.0] {
-            let outcome = play(4, milliseconds(700), at(0), slower, seed);
-            let seen = format!("{slower} times as slow: {outcome:?}");
-            assert!(outcome.taken_after_signal > 1000, "{seen}");
+        for slowdown in [1.0, 2.0, 4.0, 8.0] {
+            let counts = run(4, milliseconds(700), at(0), slowdown, seed);
+            let description = format!("{slowdown} times as slow: {counts:?}");
+            assert!(counts.admitted_after_signal > 1000, "{description}");
             assert!(
-                outcome.cut_while_sent * 100 <= outcome.taken_after_signal,
-                "{seen}"
+                counts.cut_admitted_before_deregistration * 100 <= counts.admitted_after_signal,
+                "{description}"
             );
         }
     }
--- a/crates/stacktack-core/tests/records.rs
+++ b/crates/stacktack-core/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records of decisions stay within their bounds and can be checked.
+//! Decision records stay within their size limit, and a changed record fails verification.
 
 use stacktack_core::configuration::eligibility::{Pool, Target};
 use stacktack_core::dispatch::record::{DecisionRecord, RecordRing};
--- a/crates/stacktack-core/tests/request_digest.rs
+++ b/crates/stacktack-core/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! Which tries are the same request.
+//! Tries have the same digest only if they are tries of the same request.
 
 use stacktack_core::direct::quarantine::digest::{DigestError, RequestDigest, RequestIdentity};
 
--- a/crates/stacktack-core/tests/retry_budget.rs
+++ b/crates/stacktack-core/tests/retry_budget.rs
@@ -1,16 +1,19 @@
-//! The story. Users saw more repeated sends at a service than its budget allows, on real
-//! processes. Each router spent its own ratio and an equal part of the extra that the whole
-//! fleet may spend beside; it took as many routers to be there as it had heard of, four
-//! at least. When many started together while back ends failed, each took a quarter of
-//! the extra before it had heard of anybody. A router that was killed and came back took its
-//! part once more, and routers that were cut off from the others for a minute took them for gone.
+//! A pool must never get more retries than its budget allows, however many routers there are
+//! and whatever they know of each other.
 //!
-//! Evidence: 24 processes whose back ends fail all they run, callers from the start: 1.2 to
-//! 1.6 times the budget within half a second, `sharing=4` in the log of the repeats; each
-//! arrival beyond the first of its request had such a line, but for those of processes that
-//! were killed before they wrote it.
+//! The budget was exceeded when each router spent, besides the ratio of its own requests, an
+//! equal part of the extra of the whole fleet. It divided the extra by the number of routers
+//! that it had heard of, at least four. Many routers that started together while back ends
+//! failed each spent a quarter of the extra before they had heard of any other; a router that
+//! was killed and restarted spent its part again; and routers that were cut off from the
+//! others for a minute no longer counted them.
 //!
-//! Played on virtual time, where every router wants a repeat for every request.
+//! With 24 processes whose back ends failed every request, and callers from the start, the
+//! retries were 1.2 to 1.6 times the budget within half a second, and each logged retry showed
+//! 4 as the assumed number of routers.
+//!
+//! The fleets are simulated on virtual time. Unless a test says otherwise, routers try to
+//! retry every request.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -28,62 +31,62 @@
     window: Duration::from_secs(10),
 };
 
-/// Fleets from one router to as many as two years will bring.
+/// Numbers of routers, up to the largest fleet expected within two years.
 const FLEETS: [usize; 5] = [1, 4, 30, 103, 330];
 
-/// Requests a second at the whole fleet.
+/// Requests per second to the whole fleet.
 const REQUESTS_PER_SECOND: usize = 200;
 
 const STEP: Duration = Duration::from_millis(100);
-const BYTES_PER_SECOND: f64 = 1800.0;
+const GOSSIP_BYTES_PER_SECOND: f64 = 1800.0;
 
-/// How the fleet is treated.
+/// Size of a fleet and the disturbances that it meets.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct Scenario {
     routers: usize,
-    /// Routers that start when the others have known each other for a while.
-    late: usize,
-    /// Whether datagrams arrive until then, and after it.
-    news: (bool, bool),
-    /// Time between two kills of the same router; each is back at once.
+    /// Number of routers that start at [`CHANGE`], when the others know each other.
+    late_routers: usize,
+    /// Whether datagrams arrive before [`CHANGE`], and after it.
+    gossip_arrives: (bool, bool),
+    /// Mean time between two kills of the same router, which restarts at once.
     killed_every: Option<Duration>,
     length: Duration,
 }
 
-/// When the late ones start, and news may end.
+/// Time at which the late routers start and gossip may end.
 const CHANGE: Duration = Duration::from_secs(20);
 
-fn plan(routers: usize) -> Plan {
-    Plan {
+fn scenario(routers: usize) -> Scenario {
+    Scenario {
         routers,
-        late: 0,
-        news: (true, true),
+        late_routers: 0,
+        gossip_arrives: (true, true),
         killed_every: None,
         length: Duration::from_secs(40),
     }
 }
 
-/// What it knows of the others is kept here to be young, old, or cut off: no repeat may
-/// depend on it.
+/// One router. Its `peers` know few of the other routers, all of them, or none any more; no
+/// retry may depend on that.
 struct Router {
     peers: Peers,
     budget: PoolRetryBudget,
 }
 
 impl Router {
-    fn new(number: usize, now: Time, draw: &mut ChaCha8Rng) -> Self {
+    fn new(number: usize, now: Time, random: &mut ChaCha8Rng) -> Self {
         let address = |number: usize| ([127, 0, (number / 250) as u8, (number % 250) as u8], 7300);
         let seeds = [0, 1, 2].map(|seed| address(seed).into());
         Router {
             peers: Peers::new(
                 address(number).into(),
                 ZoneHash::of("zone"),
-                draw.random(),
+                random.random(),
                 &seeds,
-                BYTES_PER_SECOND,
+                GOSSIP_BYTES_PER_SECOND,
                 now,
             ),
-            budget: PoolRetryBudget::new(BOUND, draw.random()),
+            budget: PoolRetryBudget::new(BOUND, random.random()),
         }
     }
 
@@ -91,69 +94,69 @@
         self.budget.count_request(now);
     }
 
-    fn repeat(&mut self, now: Time) -> bool {
+    fn retry(&mut self, now: Time) -> bool {
         self.budget.take(now)
     }
 }
 
-/// When requests came and when repeats were sent, in order.
+/// Times of the requests and of the retries, in order, and the number of failed requests.
 #[derive(Default)]
-struct Seen {
+struct Traffic {
     requests: Vec<Time>,
-    repeats: Vec<Time>,
-    wanted: usize,
+    retries: Vec<Time>,
+    failures: usize,
 }
 
-fn play(plan: Plan, failing_share: f64) -> Seen {
-    let mut draw = ChaCha8Rng::seed_from_u64(3);
+fn run(scenario: Scenario, failing_share: f64) -> Traffic {
+    let mut random = ChaCha8Rng::seed_from_u64(3);
     let start = Time(1_000_000_000);
-    let mut routers: Vec<Router> = (0..plan.routers - plan.late)
-        .map(|number| Router::new(number, start, &mut draw))
+    let mut routers: Vec<Router> = (0..scenario.routers - scenario.late_routers)
+        .map(|number| Router::new(number, start, &mut random))
         .collect();
-    let mut seen = Seen::default();
+    let mut traffic = Traffic::default();
     let mut now = start;
-    while now.since(start) < plan.length {
+    while now.since(start) < scenario.length {
         now = now + STEP;
         let changed = now.since(start) >= CHANGE;
         if changed {
-            for number in routers.len()..plan.routers {
-                routers.push(Router::new(number, now, &mut draw));
+            for number in routers.len()..scenario.routers {
+                routers.push(Router::new(number, now, &mut random));
             }
         }
-        kill(&plan, &mut routers, now, &mut draw);
-        let (before, after) = plan.news;
+        restart_some(&scenario, &mut routers, now, &mut random);
+        let (before, after) = scenario.gossip_arrives;
         if (changed && after) || (!changed && before) {
-            exchange(&mut routers, now);
+            exchange_gossip(&mut routers, now);
         }
         let count = REQUESTS_PER_SECOND as f64 * STEP.as_secs_f64();
         for _ in 0..count as usize {
-            let router = draw.random_range(0..routers.len());
+            let router = random.random_range(0..routers.len());
             routers[router].request(now);
-            seen.requests.push(now);
-            if draw.random_bool(failing_share) {
-                seen.wanted += 1;
-                if routers[router].repeat(now) {
-                    seen.repeats.push(now);
+            traffic.requests.push(now);
+            if random.random_bool(failing_share) {
+                traffic.failures += 1;
+                if routers[router].retry(now) {
+                    traffic.retries.push(now);
                 }
             }
         }
     }
-    seen
+    traffic
 }
 
-fn kill(plan: &Plan, routers: &mut [Router], now: Time, draw: &mut ChaCha8Rng) {
-    let Some(every) = plan.killed_every else {
+fn restart_some(scenario: &Scenario, routers: &mut [Router], now: Time, random: &mut ChaCha8Rng) {
+    let Some(every) = scenario.killed_every else {
         return;
     };
     for (number, router) in routers.iter_mut().enumerate() {
-        if draw.random_bool(STEP.as_secs_f64() / every.as_secs_f64()) {
-            *router = Router::new(number, now, draw);
+        if random.random_bool(STEP.as_secs_f64() / every.as_secs_f64()) {
+            *router = Router::new(number, now, random);
         }
     }
 }
 
-/// Datagrams of all routers, one of each a step.
-fn exchange(routers: &mut [Router], now: Time) {
+/// Delivers the datagrams that all routers send in one step.
+fn exchange_gossip(routers: &mut [Router], now: Time) {
     let own = OwnGossip {
         serving: true,
         ..OwnGossip::default()
@@ -173,17 +176,18 @@
     }
 }
 
-/// The highest share of the budget in any window, as whoever judges it counts: against the
-/// requests of the window, of the one before it or of the one half before it.
-fn highest_share(seen: &Seen) -> f64 {
-    highest_share_of(seen, &BOUND)
+/// Maximum of the retries in any window, as a share of the budget. The budget counts the
+/// requests of that window, of the window before it or of the window half a length earlier,
+/// whichever are the most.
+fn max_share(traffic: &Traffic) -> f64 {
+    max_share_of(traffic, &BOUND)
 }
 
-fn highest_share_of(seen: &Seen, bound: &BudgetBound) -> f64 {
+fn max_share_of(traffic: &Traffic, bound: &BudgetBound) -> f64 {
     let window = bound.window;
     let mut within = VecDeque::new();
-    let mut highest: f64 = 0.0;
-    for at in &seen.repeats {
+    let mut max_share: f64 = 0.0;
+    for at in &traffic.retries {
         within.push_back(*at);
         while within
             .front()
@@ -195,22 +199,22 @@
             .map(|back| {
                 let until = *at - back;
                 let from = until - window;
-                let first = seen.requests.partition_point(|sent| *sent <= from);
-                seen.requests.partition_point(|sent| *sent <= until) - first
+                let first = traffic.requests.partition_point(|sent| *sent <= from);
+                traffic.requests.partition_point(|sent| *sent <= until) - first
             })
             .into_iter()
             .max()
             .unwrap_or(0);
         let allowed = bound.ratio * requests as f64 + bound.extra;
-        highest = highest.max(within.len() as f64 / allowed);
+        max_share = max_share.max(within.len() as f64 / allowed);
     }
-    highest
+    max_share
 }
 
-/// Plans whose repeats went beyond the budget, each with its highest share.
-fn beyond_the_budget(name: &str, plans: impl Iterator<Item = Plan>) -> Vec<(String, f64)> {
-    plans
-        .map(|plan| (plan.routers, highest_share(&play(plan, 1.0))))
+/// Scenarios in which the retries exceeded the budget, each with its maximum share.
+fn over_budget(name: &str, scenarios: impl Iterator<Item = Scenario>) -> Vec<(String, f64)> {
+    scenarios
+        .map(|scenario| (scenario.routers, max_share(&run(scenario, 1.0))))
         .inspect(|(routers, share)| println!("{name}: routers={routers} share={share:.2}"))
         .filter(|(_, share)| *share > 1.0)
         .map(|(routers, share)| (format!("{name}, {routers} routers"), share))
@@ -219,58 +223,55 @@
 
 #[test]
 fn a_fleet_keeps_its_retry_budget_whatever_its_routers_know_of_each_other() {
-    let started_together = FLEETS.map(plan);
-    let half_joined = FLEETS.map(|routers| Plan {
-        late: routers / 2,
-        ..plan(routers)
+    let started_together = FLEETS.map(scenario);
+    let half_joined = FLEETS.map(|routers| Scenario {
+        late_routers: routers / 2,
+        ..scenario(routers)
     });
-    let killed = FLEETS.map(|routers| Plan {
+    let killed = FLEETS.map(|routers| Scenario {
         killed_every: Some(Duration::from_millis(1500)),
-        ..plan(routers)
+        ..scenario(routers)
     });
-    let cut_off = FLEETS.map(|routers| Plan {
-        news: (false, false),
-        ..plan(routers)
+    let cut_off = FLEETS.map(|routers| Scenario {
+        gossip_arrives: (false, false),
+        ..scenario(routers)
     });
-    let cut_off_later = FLEETS.map(|routers| Plan {
-        news: (true, false),
+    let cut_off_later = FLEETS.map(|routers| Scenario {
+        gossip_arrives: (true, false),
         length: Duration::from_secs(95),
-        ..plan(routers)
+        ..scenario(routers)
     });
-    let mut broken = beyond_the_budget("started together", started_together.into_iter());
-    broken.extend(beyond_the_budget("half joined", half_joined.into_iter()));
-    broken.extend(beyond_the_budget("killed", killed.into_iter()));
-    broken.extend(beyond_the_budget("cut off", cut_off.into_iter()));
-    broken.extend(beyond_the_budget(
-        "cut off later",
-        cut_off_later.into_iter(),
-    ));
-    assert!(broken.is_empty(), "{broken:#?}");
+    let mut over = over_budget("started together", started_together.into_iter());
+    over.extend(over_budget("half joined", half_joined.into_iter()));
+    over.extend(over_budget("killed", killed.into_iter()));
+    over.extend(over_budget("cut off", cut_off.into_iter()));
+    over.extend(over_budget("cut off later", cut_off_later.into_iter()));
+    assert!(over.is_empty(), "{over:#?}");
 }
 
-/// Four routers whose requests swing: no window holds more repeats than the ratio of its
-/// requests, or of those before it.
+/// The rate of requests to four routers swings. No window may hold more retries than the
+/// ratio of its requests, or of the requests of the window before it, and the extra.
 #[test]
 fn retries_stay_within_the_ratio_in_every_window() {
-    let mut draw = ChaCha8Rng::seed_from_u64(7);
+    let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut budgets: Vec<PoolRetryBudget> = (0..4)
-        .map(|_| PoolRetryBudget::new(BOUND, draw.random()))
+        .map(|_| PoolRetryBudget::new(BOUND, random.random()))
         .collect();
-    let mut seen = Seen::default();
+    let mut traffic = Traffic::default();
     for tick in 0..6000 {
         let now = Time(1_000_000_000 + tick * 10_000);
         let busy = (tick / 700) % 2 == 0;
-        let budget = &mut budgets[draw.random_range(0..4)];
-        if draw.random_bool(if busy { 0.9 } else { 0.1 }) {
+        let budget = &mut budgets[random.random_range(0..4)];
+        if random.random_bool(if busy { 0.9 } else { 0.1 }) {
             budget.count_request(now);
-            seen.requests.push(now);
+            traffic.requests.push(now);
         }
         if budget.take(now) {
-            seen.repeats.push(now);
+            traffic.retries.push(now);
         }
     }
-    assert!(seen.repeats.len() > 300, "the budget has to be used");
-    assert!(highest_share(&seen) <= 1.0);
+    assert!(traffic.retries.len() > 300, "the budget has to be used");
+    assert!(max_share(&traffic) <= 1.0);
 }
 
 #[test]
@@ -287,46 +288,46 @@
     assert_eq!(taken(&mut earn(), start + BOUND.window), 0);
 }
 
-/// The bound holds without the extra too, when all traffic moves from one half of the
-/// routers to the other with each window and every request wants a repeat.
+/// The bound also holds without the extra, when all traffic moves from one half of the
+/// routers to the other with each window and every request is to be retried.
 #[test]
 fn retries_stay_within_the_ratio_when_traffic_moves_between_routers() {
     let bound = BudgetBound {
         extra: 0.0,
         ..BOUND
     };
-    let mut draw = ChaCha8Rng::seed_from_u64(9);
+    let mut random = ChaCha8Rng::seed_from_u64(9);
     let mut budgets: Vec<PoolRetryBudget> = (0..40)
-        .map(|_| PoolRetryBudget::new(bound, draw.random()))
+        .map(|_| PoolRetryBudget::new(bound, random.random()))
         .collect();
-    let mut seen = Seen::default();
+    let mut traffic = Traffic::default();
     for step in 0..60_000 {
         let now = Time(1_000_000_000 + step * 1000);
         let half = (step / 10_000) % 2;
-        let router = 2 * draw.random_range(0..20) + half as usize;
+        let router = 2 * random.random_range(0..20) + half as usize;
         budgets[router].count_request(now);
-        seen.requests.push(now);
-        // Those that lost their callers still repeat what they took.
-        let repeating = draw.random_range(0..40);
-        if budgets[repeating].take(now) {
-            seen.repeats.push(now);
+        traffic.requests.push(now);
+        // Routers that no longer get requests still retry those that they admitted.
+        let retrying = random.random_range(0..40);
+        if budgets[retrying].take(now) {
+            traffic.retries.push(now);
         }
     }
-    assert!(seen.repeats.len() > 4000, "the budget has to be used");
-    let share = highest_share_of(&seen, &bound);
-    // Parts of repeats that many routers begin with come on top, half of one each.
+    assert!(traffic.retries.len() > 4000, "the budget has to be used");
+    let share = max_share_of(&traffic, &bound);
+    // The fractions of a permit with which routers start come on top, half a permit each.
     assert!(share <= 1.02, "{share}");
 }
 
-/// Repeats are allowed for most of the requests that fail, where 4 in 100 do, also in a
-/// fleet in which each router has few requests. With a share of the extra for each router it
-/// was all of them, and 0.94 and 0.75 with 103 and 330 routers.
+/// Where 4 in 100 requests fail, most of these can be retried, also in a fleet in which each
+/// router gets few requests. When each router also spent a part of the extra, all of them were
+/// retried, 0.94 with 103 routers and 0.75 with 330.
 #[test]
 fn most_of_few_failures_are_retried() {
-    for (routers, least) in FLEETS.into_iter().zip([1.0, 1.0, 0.95, 0.85, 0.5]) {
-        let seen = play(plan(routers), 0.04);
-        let share = seen.repeats.len() as f64 / seen.wanted as f64;
-        println!("routers={routers} repeated={share:.3}");
-        assert!(share >= least, "{routers} routers: {share}");
+    for (routers, min_share) in FLEETS.into_iter().zip([1.0, 1.0, 0.95, 0.85, 0.5]) {
+        let traffic = run(scenario(routers), 0.04);
+        let share = traffic.retries.len() as f64 / traffic.failures as f64;
+        println!("routers={routers} retried={share:.3}");
+        assert!(share >= min_share, "{routers} routers: {share}");
     }
 }
--- a/crates/stacktack-core/tests/returning_callers.rs
+++ b/crates/stacktack-core/tests/returning_callers.rs
@@ -1,8 +1,9 @@
-//! Who came back after a refusal, as far as callers' patience tells.
+//! Callers that come back after a refusal are recognized by timeouts that are shorter than
+//! usual; first tries must not be taken for them.
 //!
-//! The story. In 14 calm seconds, without one refusal, 61 of 100 callers of a deployment
-//! were taken as returned: they say between 0.85 and 1 of their route's time, and the
-//! longest patience counted as usual. "New callers first" put few of them first.
+//! In 14 s without a refusal, 61 of 100 callers of a deployment counted as returning: they
+//! announce between 0.85 and 1 of their route's timeout, and the longest timeout counted as
+//! usual. Few of the new callers then got priority over returning ones.
 
 use std::time::Duration;
 
@@ -11,72 +12,73 @@
 use stacktack_core::direct::admission::{AdmissionRequest, PoolAdmission};
 use stacktack_core::time::Time;
 
-fn request(patience: Duration) -> AdmissionRequest<'static> {
+fn request(timeout: Duration) -> AdmissionRequest<'static> {
     AdmissionRequest {
         route: "r",
         tenant: None,
         objective: Duration::from_millis(400),
-        caller_timeout: patience,
-        remaining_timeout: patience,
+        caller_timeout: timeout,
+        remaining_timeout: timeout,
         is_retry: false,
     }
 }
 
-/// Patience of first tries: a share of the longest one, drawn.
-fn spread(random: &mut ChaCha8Rng, longest: Duration, from: f64) -> Duration {
-    longest.mul_f64(random.random_range(from..=1.0))
+/// Timeout of a first try, drawn from `min_share` to 1 as a share of the longest one.
+fn random_timeout(random: &mut ChaCha8Rng, longest: Duration, min_share: f64) -> Duration {
+    longest.mul_f64(random.random_range(min_share..=1.0))
 }
 
-const LONGEST: [Duration; 3] = [
+const LONGEST_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(600),
     Duration::from_millis(2500),
     Duration::from_secs(10),
 ];
 
-/// Share of 2,000 calm callers that counts as returned, after as many were seen.
-fn taken_as_returned(longest: Duration, from: f64) -> f64 {
+/// Share of 2,000 first tries that counts as returning, after as many were admitted; none is
+/// refused.
+fn returning_share(longest: Duration, min_share: f64) -> f64 {
     let mut random = ChaCha8Rng::seed_from_u64(9);
     let mut admission = PoolAdmission::default();
-    let mut returned = 0;
+    let mut returning = 0;
     for number in 0..4000_u64 {
         let now = Time(1_000_000 + number * 10_000);
-        let request = request(spread(&mut random, longest, from));
+        let request = request(random_timeout(&mut random, longest, min_share));
         if number >= 2000 && admission.has_returned(&request) {
-            returned += 1;
+            returning += 1;
         }
         admission.on_admitted(&request, now);
     }
-    f64::from(returned) / 2000.0
+    f64::from(returning) / 2000.0
 }
 
 #[test]
 fn without_refusals_hardly_any_caller_counts_as_returning_whatever_its_timeout() {
-    for longest in LONGEST {
-        for from in [1.0, 0.98, 0.85, 0.5, 0.2] {
-            let share = taken_as_returned(longest, from);
-            println!("longest={longest:?} from={from} returned={share}");
-            assert!(share < 0.02, "{longest:?} {from}: {share}");
+    for longest in LONGEST_TIMEOUTS {
+        for min_share in [1.0, 0.98, 0.85, 0.5, 0.2] {
+            let share = returning_share(longest, min_share);
+            println!("longest={longest:?} from={min_share} returned={share}");
+            assert!(share < 0.02, "{longest:?} {min_share}: {share}");
         }
     }
 }
 
-/// Callers that come back wait less than any first try: they are told from those.
+/// The timeouts of returning callers are shorter than those of all first tries.
 #[test]
 fn returning_callers_are_distinguished_from_first_tries() {
-    for longest in LONGEST {
+    for longest in LONGEST_TIMEOUTS {
         let mut random = ChaCha8Rng::seed_from_u64(4);
         let mut admission = PoolAdmission::default();
         for number in 0..2000_u64 {
             let now = Time(1_000_000 + number * 10_000);
-            admission.on_admitted(&request(spread(&mut random, longest, 0.85)), now);
+            admission.on_admitted(&request(random_timeout(&mut random, longest, 0.85)), now);
         }
         assert!(admission.has_returned(&request(longest.mul_f64(0.75))));
         assert!(!admission.has_returned(&request(longest.mul_f64(0.86))));
     }
 }
 
-/// A long overload in which half of all callers are returned ones leaves the belief as it
-/// was.
+/// A long overload, in which half of all callers are returning ones, must not change the
+/// learned timeout.
 #[test]
 fn an_overload_does_not_change_the_usual_timeout() {
     let longest = Duration::from_secs(8);
@@ -84,13 +86,13 @@
     let mut admission = PoolAdmission::default();
     for number in 0..2000_u64 {
         let now = Time(1_000_000 + number * 10_000);
-        admission.on_admitted(&request(spread(&mut random, longest, 0.85)), now);
+        admission.on_admitted(&request(random_timeout(&mut random, longest, 0.85)), now);
     }
     let start = 40_000_000;
     for number in 0..4000_u64 {
         let now = Time(start + number * 5_000);
-        let from = if number % 2 == 0 { 0.85 } else { 0.4 };
-        let request = request(spread(&mut random, longest, from));
+        let min_share = if number % 2 == 0 { 0.85 } else { 0.4 };
+        let request = request(random_timeout(&mut random, longest, min_share));
         if number % 3 == 0 {
             admission.on_refused(&request, 0.5, now);
         } else {
@@ -101,28 +103,27 @@
     assert!(!admission.has_returned(&request(longest.mul_f64(0.86))));
 }
 
-/// Where the work shifts to callers that wait less, these are usual after some hundred of
-/// them.
+/// Where traffic shifts to callers with a shorter timeout, that timeout is usual after some
+/// hundred of them.
 #[test]
 fn the_usual_timeout_is_learned_again_after_a_change() {
     let mut admission = PoolAdmission::default();
     let mut now = Time(1_000_000);
-    let mut see = |admission: &mut PoolAdmission, milliseconds: u64, count: u32| {
+    let mut admit = |admission: &mut PoolAdmission, milliseconds: u64, count: u32| {
         for _ in 0..count {
             now = now + Duration::from_millis(10);
             admission.on_admitted(&request(Duration::from_millis(milliseconds)), now);
         }
     };
-    see(&mut admission, 8000, 500);
+    admit(&mut admission, 8000, 500);
     assert!(admission.has_returned(&request(Duration::from_millis(2500))));
-    see(&mut admission, 2500, 300);
+    admit(&mut admission, 2500, 300);
     assert!(!admission.has_returned(&request(Duration::from_millis(2500))));
-    see(&mut admission, 8000, 16_000);
+    admit(&mut admission, 8000, 16_000);
     assert!(admission.has_returned(&request(Duration::from_millis(2500))));
 }
 
-/// A router that starts within an overload knows no usual patience, and puts nobody
-/// behind.
+/// A router that starts during an overload knows no usual timeout and deprioritizes nobody.
 #[test]
 fn a_router_that_starts_in_an_overload_counts_nobody_as_returning() {
     let mut admission = PoolAdmission::default();
--- a/crates/stacktack-core/tests/run_times.rs
+++ b/crates/stacktack-core/tests/run_times.rs
@@ -1,4 +1,4 @@
-//! What a router knows of how long requests run.
+//! How long the recent requests of a route ran, as known by its router.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     Time(0) + seconds(count)
 }
 
-/// Runs that took so many seconds and ended at a time.
-fn ended(took: &[u64], end: u64) -> RunTimes {
+/// Runs that took the given seconds and all ended at `end`.
+fn with_finished(durations: &[u64], end: u64) -> RunTimes {
     let mut times = RunTimes::default();
-    for took in took {
-        let run = times.begin(at(end - took));
+    for duration in durations {
+        let run = times.begin(at(end - duration));
         times.end(run, true, at(end));
     }
     times
@@ -31,7 +31,7 @@
 
 #[test]
 fn the_longest_recent_run_counts_and_expires() {
-    let times = ended(&[1, 5, 2], 10);
+    let times = with_finished(&[1, 5, 2], 10);
     assert_eq!(times.longest(at(19)), Some(seconds(5)));
     assert_eq!(times.longest(at(20)), None);
     assert!(times.is_idle(at(20)));
@@ -39,7 +39,7 @@
 
 #[test]
 fn runs_in_flight_show_that_back_ends_have_become_slow() {
-    let mut times = ended(&[1; 30], 10);
+    let mut times = with_finished(&[1; 30], 10);
     times.begin(at(10));
     let slow = times.begin(at(10));
     assert_eq!(times.longest(at(11)), Some(seconds(1)));
--- a/crates/stacktack-core/tests/target_fill.rs
+++ b/crates/stacktack-core/tests/target_fill.rs
@@ -1,4 +1,5 @@
-//! The fill of a full pool is found from late answers, and found again when work shifts.
+//! The target fill of a full pool converges to the fill above which responses become late, and
+//! follows it when the work changes.
 
 use std::time::Duration;
 
@@ -7,19 +8,20 @@
 use stacktack_core::direct::admission::target_fill::TargetFill;
 use stacktack_core::time::Time;
 
-/// The most that waits allow, in slots.
-const MOST: f64 = 1.06;
+/// Maximum fill that waits allow, in slots.
+const MAX_TARGET: f64 = 1.06;
 
-/// Answers a second that one router sees.
-const ANSWERS: u32 = 40;
+/// Responses per second that one router gets.
+const RESPONSES_PER_SECOND: u32 = 40;
 
-/// Share of the answers that are late at a fill, for engines with a knee there: a tenth
-/// below it, all at a quarter of the slots above it.
+/// Share of the responses that are late at a fill, for engines with the given knee: a tenth
+/// below the knee, all of them at a quarter of the slots above it.
 fn late_share(fill: f64, knee: f64) -> f64 {
     (0.1 + (fill - knee).max(0.0) * 3.6).min(1.0)
 }
 
-/// A pool with more work than it bears: its fill follows the target within half a second.
+/// A pool whose fill follows the target, or the offered fill if that is less, within half a
+/// second.
 struct Pool {
     target: TargetFill,
     fill: f64,
@@ -31,23 +33,23 @@
     fn new() -> Self {
         Pool {
             target: TargetFill::default(),
-            fill: MOST,
+            fill: MAX_TARGET,
             now: Time(1_000_000),
             random: ChaCha8Rng::seed_from_u64(2),
         }
     }
 
-    /// Runs for a time, with an offered fill; returns the mean target of the last half.
+    /// Runs for some seconds with an offered fill; returns the mean target of the second half.
     fn run(&mut self, seconds: u32, knee: f64, offered: f64) -> f64 {
-        let steps = seconds * ANSWERS;
+        let steps = seconds * RESPONSES_PER_SECOND;
         let mut sum = 0.0;
         for step in 0..steps {
-            self.now = self.now + Duration::from_secs(1) / ANSWERS;
+            self.now = self.now + Duration::from_secs(1) / RESPONSES_PER_SECOND;
             let late = self.random.random::<f64>() < late_share(self.fill, knee);
             self.target.on_first_try_response(late);
-            let target = self.target.target(MOST, self.fill, self.now);
+            let target = self.target.target(MAX_TARGET, self.fill, self.now);
             let goal = target.min(offered);
-            self.fill += (goal - self.fill) * 2.0 / f64::from(ANSWERS);
+            self.fill += (goal - self.fill) * 2.0 / f64::from(RESPONSES_PER_SECOND);
             if step >= steps / 2 {
                 sum += target;
             }
@@ -62,32 +64,31 @@
     for knee in [0.75, 1.3, 0.6, 0.9, 0.75] {
         let found = pool.run(20, knee, 4.0);
         println!("knee={knee} found={found:.2}");
-        let wanted = knee.min(MOST);
-        assert!((found - wanted).abs() < 0.12, "knee {knee}: {found}");
+        let expected = knee.min(MAX_TARGET);
+        assert!((found - expected).abs() < 0.12, "knee {knee}: {found}");
     }
 }
 
-/// Below 0.55 of the slots late answers are not taken for a sign of too much.
+/// Below 0.55 of the slots, late responses do not count as a sign of overload.
 #[test]
 fn a_pool_that_is_slow_at_any_fill_still_serves() {
     let found = Pool::new().run(30, 0.1, 4.0);
     assert!(found >= 0.55, "{found}");
 }
 
-/// Late answers of a pool with room do not lower what it may hold.
 #[test]
 fn late_responses_of_a_pool_with_free_capacity_do_not_lower_the_target() {
     let mut pool = Pool::new();
     pool.fill = 0.3;
     let found = pool.run(20, 0.0, 0.3);
-    assert!((found - MOST).abs() < 1e-9, "{found}");
+    assert!((found - MAX_TARGET).abs() < 1e-9, "{found}");
 }
 
-/// Once there is no more than the pool bears, the usual fill is allowed again.
+/// Once the pool gets no more requests than it can serve, the maximum is allowed again.
 #[test]
 fn the_target_returns_to_its_maximum_after_an_overload() {
     let mut pool = Pool::new();
     assert!(pool.run(20, 0.6, 4.0) < 0.75);
     let found = pool.run(24, 0.6, 0.3);
-    assert!((found - MOST).abs() < 0.01, "{found}");
+    assert!((found - MAX_TARGET).abs() < 0.01, "{found}");
 }
--- a/crates/stacktack-core/tests/versions.rs
+++ b/crates/stacktack-core/tests/versions.rs
@@ -1,4 +1,4 @@
-//! A process never goes back to an earlier configuration.
+//! A process never returns to an older configuration version.
 
 use std::net::SocketAddr;
 
@@ -45,9 +45,9 @@
 
 #[test]
 fn without_the_protection_a_late_snapshot_would_win() {
-    let broken = Protections::without(Rule::VersionRise);
+    let unprotected = Protections::without(Rule::VersionRise);
     assert_eq!(
-        version_after(broken, &[3, 5, 4, 1]),
+        version_after(unprotected, &[3, 5, 4, 1]),
         ConfigurationVersion(1)
     );
 }
