--- a/crates/stacktack-core/tests/admission/main.rs
+++ b/crates/stacktack-core/tests/admission/main.rs
@@ -446,7 +446,7 @@
 }
 
 /// Isolated routers know only the loads that back ends report to them, and routers that just
-/// started know no loads at first. Neither send more than their share for long.
+/// started know no loads at first. Neither kind sends more than its share for long.
 #[test]
 fn isolated_and_new_routers_make_few_responses_late() {
     let isolated = Scenario {
--- a/crates/stacktack-core/tests/bootstrap_push.rs
+++ b/crates/stacktack-core/tests/bootstrap_push.rs
@@ -3,7 +3,7 @@
 //!
 //! When twenty routers started within 50 ms, the seeds read the store after 1 ms and pushed to
 //! the others, all in the same order, until the byte budget of a second was spent. The last
-//! routers heard of it after 160 to 310 ms. A router that joined a running fleet waited 80 to
+//! routers heard of it only after 160 to 310 ms. A router that joined a running fleet waited 80 to
 //! 160 ms, until the others had saved enough bytes for a push.
 //!
 //! The fleets are simulated on virtual time.
--- a/crates/stacktack-core/tests/retry_budget.rs
+++ b/crates/stacktack-core/tests/retry_budget.rs
@@ -178,7 +178,7 @@
 
 /// Maximum of the retries in any window, as a share of the budget. The budget counts the
 /// requests of that window, of the window before it or of the window half a length earlier,
-/// whichever are the most.
+/// whichever has the most.
 fn max_share(traffic: &Traffic) -> f64 {
     max_share_of(traffic, &BOUND)
 }
@@ -249,7 +249,7 @@
     assert!(over.is_empty(), "{over:#?}");
 }
 
-/// The rate of requests to four routers swings. No window may hold more retries than the
+/// The rate of requests to four routers varies. No window may hold more retries than the
 /// ratio of its requests, or of the requests of the window before it, and the extra.
 #[test]
 fn retries_stay_within_the_ratio_in_every_window() {
@@ -320,8 +320,8 @@
 }
 
 /// Where 4 in 100 requests fail, most of these can be retried, also in a fleet in which each
-/// router gets few requests. When each router also spent a part of the extra, all of them were
-/// retried, 0.94 with 103 routers and 0.75 with 330.
+/// router gets few requests. When each router also spent a part of the extra, all failed
+/// requests were retried, but 0.94 of them with 103 routers and 0.75 with 330.
 #[test]
 fn most_of_few_failures_are_retried() {
     for (routers, min_share) in FLEETS.into_iter().zip([1.0, 1.0, 0.95, 0.85, 0.5]) {
--- a/crates/stacktack-core/tests/snapshot_transfers.rs
+++ b/crates/stacktack-core/tests/snapshot_transfers.rs
@@ -1,5 +1,5 @@
-//! Snapshots that a router sends to peers at once must not share its link with many others, nor
-//! wait for each other without need.
+//! A router must not send large snapshots to many peers at once, since these share its link, and
+//! must not hold back small snapshots.
 
 use stacktack_core::direct::peers::peer_gossip::ZoneHash;
 use stacktack_core::direct::peers::snapshot_transfers::SnapshotTransfers;
--- a/crates/stacktack-core/tests/target_fill.rs
+++ b/crates/stacktack-core/tests/target_fill.rs
@@ -62,26 +62,29 @@
 fn the_target_converges_to_the_knee_and_follows_it() {
     let mut pool = Pool::new();
     for knee in [0.75, 1.3, 0.6, 0.9, 0.75] {
-        let found = pool.run(20, knee, 4.0);
-        println!("knee={knee} found={found:.2}");
+        let mean_target = pool.run(20, knee, 4.0);
+        println!("knee={knee} found={mean_target:.2}");
         let expected = knee.min(MAX_TARGET);
-        assert!((found - expected).abs() < 0.12, "knee {knee}: {found}");
+        assert!(
+            (mean_target - expected).abs() < 0.12,
+            "knee {knee}: {mean_target}"
+        );
     }
 }
 
 /// Below 0.55 of the slots, late responses do not count as a sign of overload.
 #[test]
 fn a_pool_that_is_slow_at_any_fill_still_serves() {
-    let found = Pool::new().run(30, 0.1, 4.0);
-    assert!(found >= 0.55, "{found}");
+    let mean_target = Pool::new().run(30, 0.1, 4.0);
+    assert!(mean_target >= 0.55, "{mean_target}");
 }
 
 #[test]
 fn late_responses_of_a_pool_with_free_capacity_do_not_lower_the_target() {
     let mut pool = Pool::new();
     pool.fill = 0.3;
-    let found = pool.run(20, 0.0, 0.3);
-    assert!((found - MAX_TARGET).abs() < 1e-9, "{found}");
+    let mean_target = pool.run(20, 0.0, 0.3);
+    assert!((mean_target - MAX_TARGET).abs() < 1e-9, "{mean_target}");
 }
 
 /// Once the pool gets no more requests than it can serve, the maximum is allowed again.
@@ -89,6 +92,6 @@
 fn the_target_returns_to_its_maximum_after_an_overload() {
     let mut pool = Pool::new();
     assert!(pool.run(20, 0.6, 4.0) < 0.75);
-    let found = pool.run(24, 0.6, 0.3);
-    assert!((found - MAX_TARGET).abs() < 0.01, "{found}");
+    let mean_target = pool.run(24, 0.6, 0.3);
+    assert!((mean_target - MAX_TARGET).abs() < 0.01, "{mean_target}");
 }
