--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -1,4 +1,4 @@
-//! From a caller's request head to an exchange, or an early refusal.
+//! Admits a caller's request as an exchange, or refuses it early.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -14,30 +14,33 @@
 use stacktack_core::direct::traffic::route::{Route, Tenant, TrafficConfiguration};
 use stacktack_core::time::Time;
 
-use crate::answer::AnswerBody;
-use crate::counted::Counted;
+use crate::count_guard::CountGuard;
 use crate::exchange::{Exchange, Outcome};
 use crate::ports::{CallerRequest, RefusalKind};
-use crate::quarantine::digest_of;
+use crate::quarantine::request_digest;
 use crate::respond::{refuse_early, respond};
+use crate::response_body::ResponseBody;
 use crate::router::{Phase, Router};
 
-/// Answers one request.
-pub async fn answer(router: Rc<Router>, request: Request<Incoming>) -> Response<AnswerBody> {
-    router.look_for_suspension();
+/// Handles one request of a caller.
+pub async fn handle_request(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
+    router.check_for_suspension();
     let started = router.now();
     let (head, body) = request.into_parts();
     let caller = router.protocol.read_request(&head);
     match admit(&router, started, head, body, caller).await {
         Ok(exchange) => respond(exchange).await,
-        Err(RefusedEarly { kind, id, version }) => {
+        Err(EarlyRefusal { kind, id, version }) => {
             refuse_early(&router, kind, id.as_deref(), version)
         }
     }
 }
 
-/// A request that was refused before it became an exchange.
-struct RefusedEarly {
+/// Refusal of a request before it becomes an exchange.
+struct EarlyRefusal {
     kind: RefusalKind,
     id: Option<String>,
     version: u64,
@@ -49,11 +52,11 @@
     head: request::Parts,
     body: Incoming,
     caller: CallerRequest,
-) -> Result<Box<Exchange>, RefusedEarly> {
+) -> Result<Box<Exchange>, EarlyRefusal> {
     let known = router.configuration.borrow().clone();
     let version = known.as_ref().map_or(0, |known| known.version);
     let id = caller.id.clone();
-    let refused = |kind| RefusedEarly {
+    let refused = |kind| EarlyRefusal {
         kind,
         id: id.clone(),
         version,
@@ -61,7 +64,7 @@
     if *router.phase.borrow() >= Phase::Draining {
         return Err(refused(RefusalKind::Stopping));
     }
-    if router.awaits_news() {
+    if router.awaits_contact() {
         return Err(refused(RefusalKind::NotReady));
     }
     let configuration = known.ok_or_else(|| refused(RefusalKind::NotReady))?;
@@ -69,20 +72,20 @@
     let tenant = find_tenant(&configuration, &route, &caller)
         .map_err(|()| refused(RefusalKind::UnknownKey))?;
     let id_text = id.clone().ok_or_else(|| refused(RefusalKind::Malformed))?;
-    let patience = caller
-        .patience
+    let timeout = caller
+        .timeout
         .map_or(route.timeout, |time| time.min(route.timeout));
-    let limit = started + patience;
-    if !router.may_take(&id_text, &route, limit) {
+    let deadline = started + timeout;
+    if !router.may_admit(&id_text, &route, deadline) {
         return Err(refused(RefusalKind::Stopping));
     }
-    // A process that stops waits for it.
-    let arriving = Counted::begin(router.clone(), |router| &router.arriving);
+    // A process that stops waits for the body.
+    let being_read = CountGuard::new(router.clone(), |router| &router.requests_being_read);
     let limited = Limited::new(body, configuration.limits.body_bytes);
     let collected = tokio::select! {
         biased;
         collected = limited.collect() => Some(collected),
-        () = router.until_answer_due(limit) => None,
+        () = router.until_response_due(deadline) => None,
     };
     let body = match collected {
         Some(Ok(body)) => body.to_bytes(),
@@ -90,16 +93,16 @@
             return Err(refused(RefusalKind::BodyTooLarge))
         }
         Some(Err(_)) => return Err(refused(RefusalKind::Malformed)),
-        None if router.now() < limit => return Err(refused(RefusalKind::Stopping)),
+        None if router.now() < deadline => return Err(refused(RefusalKind::Stopping)),
         None => return Err(refused(RefusalKind::BodyTimeout)),
     };
-    // A body may come slowly: what was time enough at the head may not be any more.
-    if !router.may_take(&id_text, &route, limit) {
+    // The body may have arrived slowly, and too little time may be left by now.
+    if !router.may_admit(&id_text, &route, deadline) {
         return Err(refused(RefusalKind::Stopping));
     }
     let digest = OnceCell::new();
-    let treatment =
-        router.treatment(|| *digest.get_or_init(|| digest_of(&head, &body, tenant.as_deref())));
+    let treatment = router
+        .treatment(|| *digest.get_or_init(|| request_digest(&head, &body, tenant.as_deref())));
     if treatment == Treatment::SetAside {
         if let Some(digest) = digest.get() {
             log::info!(target: "quarantine", "id={id_text} request={digest} refused=true");
@@ -108,12 +111,14 @@
     }
     let target = route.draw_target(rand::rng().next_u32());
     if treatment < Treatment::Probation {
-        // A suspect gets no repeats and earns none.
+        // A request on probation gets no retries and earns none.
         router.count_request(&route.targets[target].back_ends);
     }
-    router.exchanges.set(router.exchanges.get() + 1);
-    drop(arriving);
-    let taken_as_last = router.note_taken_as_last();
+    router
+        .requests_in_flight
+        .set(router.requests_in_flight.get() + 1);
+    drop(being_read);
+    let admitted_after_deregistration = router.count_admission_after_deregistration();
     let run = router.begin_run(&route.name);
     Ok(Box::new(Exchange {
         router: router.clone(),
@@ -127,18 +132,18 @@
         version,
         started,
         run,
-        taken_as_last,
-        limit,
+        admitted_after_deregistration,
+        deadline,
         digest,
-        look: None,
-        ledger: AttemptHistory::default(),
-        in_doubt: false,
-        is_repeat_granted: false,
+        crash_probe: None,
+        history: AttemptHistory::default(),
+        attempt_in_flight: false,
+        is_retry_granted: false,
         tried: Vec::new(),
         admitted: false,
-        returned: false,
-        ends_too_soon: false,
-        come_back: None,
+        has_returned: false,
+        no_time_before_stop: false,
+        retry_after: None,
         outcome: Outcome::Open,
     }))
 }
--- a/crates/stacktack-direct/src/app.rs
+++ b/crates/stacktack-direct/src/app.rs
@@ -1,4 +1,4 @@
-//! A direct router's process: start, signals, stop.
+//! Process of a direct router: start, signals and stop.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,66 +15,66 @@
 
 use crate::clock::SystemClock;
 use crate::followers::{
-    follow_configuration, follow_directory, follow_peers, follow_rollouts, follow_routers,
-    follow_verdicts, follow_zone_drains, Dependency,
+    discover_routers, fetch_from_peers, follow_configuration, follow_directory,
+    read_missed_zone_drains, sync_verdicts, write_rollout_statuses, StoreMonitor,
 };
-use crate::knowledge::{hand_over, HttpPeers};
+use crate::gossip;
 use crate::metrics::DirectMetrics;
-use crate::news;
+use crate::peer_updates::{serve_peer, HttpPeers};
 use crate::ports::{ConfigurationSource, Directory, Protocol, RolloutStore, VerdictStore};
 use crate::router::Router;
-use crate::server::{accept_callers, listen, serve_peers, serve_small};
+use crate::server::{accept_callers, listen, serve_by_address_and_path, serve_by_path};
 use crate::settings::{DirectSettings, SettingsSource};
 use crate::stopping::stop;
 
-/// Time between clean-ups of resting connections and old places.
-const CLEAN_UP: Duration = Duration::from_secs(1);
+/// Time between two clean-ups of expired state, such as idle connections and prefix locations.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between looks at whether the settings changed.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
+/// Time between two checks whether the settings have changed.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why a direct router ended early.
+/// Why a direct router could not start.
 #[derive(Debug, Error)]
 pub enum DirectError {
-    /// Sockets or signals failed.
+    /// A socket or signal handler failed.
     #[error("input or output failed: {0}")]
     Io(#[from] std::io::Error),
-    /// A state chart of the product is not complete.
+    /// A built-in state chart is invalid.
     #[error(transparent)]
     Chart(#[from] ChartError),
-    /// Metrics could not be set up.
+    /// Metrics could not be initialized.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
 
-/// What an adapter supplies.
+/// Interfaces that the platform adapter supplies.
 pub struct Ports {
-    /// Protocols towards callers and back ends.
+    /// Protocols to callers and back ends.
     pub protocol: Rc<dyn Protocol>,
     /// Source of the configuration.
     pub configuration: Rc<dyn ConfigurationSource>,
     /// Directory of back ends.
     pub directory: Rc<dyn Directory>,
-    /// Where verdicts on requests last.
+    /// Store of verdicts on requests.
     pub verdicts: Rc<dyn VerdictStore>,
-    /// Where the outcomes of roll-outs last.
+    /// Store of the outcomes of roll-outs.
     pub rollouts: Rc<dyn RolloutStore>,
-    /// Settings that may change.
+    /// Source of reloaded settings.
     pub settings: Rc<dyn SettingsSource>,
 }
 
-/// Runs a direct router until it is told to stop.
+/// Runs a direct router until a stop signal.
 pub async fn run(settings: DirectSettings, ports: Ports) -> Result<(), DirectError> {
-    // Before any address is open: callers that connect count on an orderly stop.
+    // Before any address accepts connections: callers that connect rely on a graceful stop.
     let mut stop_signals = StopSignals::catch()?;
     let hang_up = signal(SignalKind::hangup())?;
     let metrics = Metrics::new()?;
     let instruments = DirectMetrics::new(&metrics.meter());
-    let callers = listen(settings.callers)?;
-    let readiness = listen(settings.readiness)?;
-    let figures = listen(settings.metrics)?;
+    let callers_listener = listen(settings.callers)?;
+    let readiness_listener = listen(settings.readiness)?;
+    let metrics_listener = listen(settings.metrics)?;
     log::info!(target: "router", "started name={} zone={} callers={}", settings.name, settings.zone, settings.callers);
-    let knowledge = listen(settings.peers.listen)?;
+    let peers_listener = listen(settings.peers.listen)?;
     let socket = Rc::new(UdpSocket::bind(settings.peers.listen).await?);
     let router = Rc::new(Router::new(
         settings,
@@ -82,14 +82,14 @@
         instruments,
         Rc::new(SystemClock),
     ));
-    router.serve_rollouts()?;
-    let store = Rc::new(Dependency::new("store")?);
+    router.enable_rollouts()?;
+    let store = Rc::new(StoreMonitor::new("store")?);
     actix_rt::spawn(follow_configuration(
         router.clone(),
         ports.configuration.clone(),
         store.clone(),
     ));
-    actix_rt::spawn(follow_zone_drains(
+    actix_rt::spawn(read_missed_zone_drains(
         router.clone(),
         ports.configuration,
         store.clone(),
@@ -99,30 +99,34 @@
         ports.directory,
         store.clone(),
     ));
-    actix_rt::spawn(follow_verdicts(
+    actix_rt::spawn(sync_verdicts(router.clone(), ports.verdicts, store.clone()));
+    actix_rt::spawn(write_rollout_statuses(
         router.clone(),
-        ports.verdicts,
+        ports.rollouts,
         store.clone(),
     ));
-    actix_rt::spawn(follow_rollouts(
+    actix_rt::spawn(gossip::receive(router.clone(), socket.clone()));
+    actix_rt::spawn(fetch_from_peers(router.clone(), Rc::new(HttpPeers)));
+    actix_rt::spawn(discover_routers(router.clone(), Rc::new(HttpPeers)));
+    actix_rt::spawn(gossip::push_updates(
         router.clone(),
-        ports.rollouts,
+        socket.clone(),
         store.clone(),
     ));
-    actix_rt::spawn(news::receive(router.clone(), socket.clone()));
-    actix_rt::spawn(follow_peers(router.clone(), Rc::new(HttpPeers)));
-    actix_rt::spawn(follow_routers(router.clone(), Rc::new(HttpPeers)));
-    actix_rt::spawn(news::push(router.clone(), socket.clone(), store.clone()));
-    actix_rt::spawn(news::exchange(router.clone(), socket, store));
+    actix_rt::spawn(gossip::run_rounds(router.clone(), socket, store));
     actix_rt::spawn({
         let router = router.clone();
-        serve_peers(knowledge, move |peer, path| hand_over(&router, peer, path))
+        serve_by_address_and_path(peers_listener, move |peer, path| {
+            serve_peer(&router, peer, path)
+        })
     });
-    actix_rt::spawn(accept_callers(router.clone(), callers));
-    actix_rt::spawn(serve_readiness(router.clone(), readiness));
-    actix_rt::spawn(serve_small(figures, move |_| match metrics.render() {
-        Ok(text) => (StatusCode::OK, Bytes::from(text)),
-        Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+    actix_rt::spawn(accept_callers(router.clone(), callers_listener));
+    actix_rt::spawn(serve_readiness(router.clone(), readiness_listener));
+    actix_rt::spawn(serve_by_path(metrics_listener, move |_| {
+        match metrics.render() {
+            Ok(text) => (StatusCode::OK, Bytes::from(text)),
+            Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+        }
     }));
     actix_rt::spawn(clean_up(router.clone()));
     actix_rt::spawn(follow_settings(router.clone(), ports.settings, hang_up));
@@ -132,7 +136,7 @@
 }
 
 async fn serve_readiness(router: Rc<Router>, listener: tokio::net::TcpListener) {
-    serve_small(listener, move |_| {
+    serve_by_path(listener, move |_| {
         let status = if router.is_ready() {
             StatusCode::OK
         } else {
@@ -143,12 +147,12 @@
     .await;
 }
 
-/// Reads the settings again at a signal, or when they may have changed.
+/// Reloads the settings on a hang-up signal, or when they may have changed.
 async fn follow_settings(router: Rc<Router>, source: Rc<dyn SettingsSource>, mut hang_up: Signal) {
     loop {
         let by_signal = tokio::select! {
             _ = hang_up.recv() => true,
-            () = sleep(SETTINGS_LOOK) => false,
+            () = sleep(SETTINGS_CHECK_INTERVAL) => false,
         };
         if !by_signal && !source.may_have_changed() {
             continue;
@@ -167,16 +171,16 @@
 
 async fn clean_up(router: Rc<Router>) {
     loop {
-        sleep(CLEAN_UP).await;
+        sleep(CLEAN_UP_INTERVAL).await;
         router
             .connections
             .borrow_mut()
             .expire(std::time::Instant::now());
         let now = router.now();
-        router.places.borrow_mut().expire(now);
-        router.broken_runs.borrow_mut().expire(now);
+        router.prefix_locations.borrow_mut().expire(now);
+        router.interrupted_runs.borrow_mut().expire(now);
         router.quarantine.borrow_mut().expire(now);
-        router.forget_run_times(now);
+        router.remove_idle_run_times(now);
         router.log_loads();
         router.log_stale_directory();
     }
--- /dev/null
+++ b/crates/stacktack-direct/src/followers/store_monitor.rs
@@ -0,0 +1,84 @@
+//! Availability and response latency of the store, shared by all tasks that call it.
+
+use std::cell::{Cell, RefCell};
+use std::time::Duration;
+
+use stacktack_core::chart::ChartError;
+use stacktack_core::direct::sources::adaptive_timeout::AdaptiveTimeout;
+use stacktack_core::direct::sources::directory_source::DirectorySource;
+use stacktack_core::time::Time;
+use tokio::sync::Notify;
+
+use crate::ports::SourceError;
+
+/// Tracks whether the store answers and how late, and notifies waiting tasks when it recovers.
+pub struct StoreMonitor {
+    name: &'static str,
+    availability: RefCell<DirectorySource>,
+    timeout: Cell<AdaptiveTimeout>,
+    recovered: Notify,
+}
+
+impl StoreMonitor {
+    /// Monitor of a store that is assumed to answer.
+    pub fn new(name: &'static str) -> Result<Self, ChartError> {
+        Ok(StoreMonitor {
+            name,
+            availability: RefCell::new(DirectorySource::new()?),
+            timeout: Cell::default(),
+            recovered: Notify::new(),
+        })
+    }
+
+    /// Lateness after which a call counts as unanswered. `at_start` selects the shorter minimum for
+    /// a router that knows nothing yet.
+    pub(super) fn timeout(&self, at_start: bool) -> Duration {
+        self.timeout.get().timeout(at_start)
+    }
+
+    /// Largest recent lateness of responses, decaying with each response that is less late.
+    pub(super) fn lateness(&self) -> Duration {
+        self.timeout.get().lateness()
+    }
+
+    /// Records how long after it was due a call was answered.
+    pub(super) fn record_lateness(&self, lateness: Duration) {
+        let mut timeout = self.timeout.get();
+        timeout.on_answer(lateness);
+        self.timeout.set(timeout);
+    }
+
+    /// Waits until the store answers again after it was lost.
+    pub(super) async fn recovered(&self) {
+        self.recovered.notified().await;
+    }
+
+    pub(super) fn on_answer(&self, now: Time) {
+        if let Some(lost_for) = self.availability.borrow_mut().on_answer(now) {
+            log::info!(
+                target: "dependency",
+                "name={} regained=true after_ms={}",
+                self.name,
+                lost_for.as_millis()
+            );
+            self.recovered.notify_waiters();
+        }
+    }
+
+    pub(super) fn on_failure(&self, now: Time, error: SourceError) {
+        if self.availability.borrow_mut().on_failure(now) {
+            log::warn!(target: "dependency", "name={} lost=true cause=\"{error}\"", self.name);
+        }
+    }
+
+    /// Whether the store does not answer.
+    pub fn is_lost(&self) -> bool {
+        self.availability.borrow().is_lost()
+    }
+
+    /// Whether the store answers and, since its last outage, all live back ends had time to renew
+    /// their entries.
+    pub fn is_steady(&self, now: Time) -> bool {
+        self.availability.borrow_mut().is_steady(now)
+    }
+}
--- /dev/null
+++ b/crates/stacktack-direct/src/gossip.rs
@@ -0,0 +1,185 @@
+//! Sends gossip to other routers and receives theirs, as UDP datagrams.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use rand::RngExt;
+use stacktack_core::direct::peers::peer_gossip::{OwnGossip, PeerGossip};
+use stacktack_core::direct::peers::{OutgoingDatagram, MAX_DATAGRAM_BYTES};
+use stacktack_core::direct::quarantine::record::RecordGossip;
+use tokio::net::UdpSocket;
+use tokio::time::sleep;
+
+use crate::datagram::{decode, encode_with_rollouts};
+use crate::followers::StoreMonitor;
+use crate::router::Router;
+
+/// Interval between ticks, in each of which the next peers of a gossip round receive a datagram.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Minimum time between two pushes: changes that arrive meanwhile go out with the second one.
+const MIN_PUSH_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Maximum number of suspected back ends in one datagram.
+const MAX_SUSPECTS: usize = 24;
+
+/// Receives and applies datagrams from peers; never returns.
+pub async fn receive(router: Rc<Router>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+    loop {
+        let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
+            sleep(TICK_INTERVAL).await;
+            continue;
+        };
+        match decode(&buffer[..length]) {
+            Ok(datagram) => {
+                router.record_activity();
+                merge_gossip(&router, &datagram.gossip);
+                if router.is_caught_up() {
+                    router.apply_source_ages(&datagram.gossip, &datagram.ages, &datagram.reads);
+                }
+                merge_records(&router, &datagram.records);
+                router.merge_rollout_gossip(&datagram.rollouts);
+            }
+            Err(error) => log::debug!(target: "peers", "cannot decode datagram: {error}"),
+        }
+    }
+}
+
+/// Merges a peer's gossip about itself and about other routers and back ends.
+pub fn merge_gossip(router: &Router, gossip: &PeerGossip) {
+    let now = router.now();
+    router.on_contact();
+    let joined = router.peers.borrow_mut().receive(gossip, now);
+    let has_all = router.configuration_version() > 0 && router.directory_revision() > 0;
+    if has_all && router.peers.borrow().has_uninitialized_peers() {
+        router.bootstrap_push_due.notify_one();
+    }
+    if gossip.configuration > router.configuration_version()
+        || gossip.directory > router.directory_revision()
+    {
+        router.newer_revision_announced.notify_waiters();
+    }
+    if joined {
+        log::info!(
+            target: "peers",
+            "peer={} joined=true incarnation={} configuration={} directory={}",
+            gossip.from,
+            gossip.incarnation,
+            gossip.configuration,
+            gossip.directory,
+        );
+    }
+    let mut back_ends = router.back_ends.borrow_mut();
+    back_ends.merge_reported_loads(&gossip.reported_loads, now);
+    drop(back_ends);
+    for drain in &gossip.zone_drains {
+        router.merge_zone_drain(drain, "peer");
+    }
+    if !gossip.suspects.is_empty() {
+        router.apply_suspect_reports(gossip.from, &gossip.suspects);
+    }
+    if gossip.prefix_locations.is_empty() {
+        return;
+    }
+    let back_ends = router.back_ends.borrow();
+    let mut locations = router.prefix_locations.borrow_mut();
+    for (part, short_id) in &gossip.prefix_locations {
+        if let Some(id) = back_ends.resolve_short_id(*short_id) {
+            locations.record(*part, id, now);
+        }
+    }
+}
+
+/// Merges a peer's records of requests that crash back ends.
+fn merge_records(router: &Router, records: &[RecordGossip]) {
+    if records.is_empty() {
+        return;
+    }
+    let now = router.now();
+    let draw = rand::rng().random();
+    let changes = router.quarantine.borrow_mut().merge(records, draw, now);
+    for change in changes {
+        router.on_treatment_change(Some(change), "peer");
+    }
+}
+
+/// Runs gossip rounds: sends datagrams at each tick and updates the state that depends on what
+/// peers gossiped; never returns.
+pub async fn run_rounds(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<StoreMonitor>) {
+    send_tick(&router, &socket, &store).await;
+    loop {
+        let due = Instant::now() + TICK_INTERVAL;
+        sleep(TICK_INTERVAL).await;
+        router.record_timer_lag(due.elapsed());
+        router.record_activity();
+        router.check_for_suspension();
+        send_tick(&router, &socket, &store).await;
+        router.apply_peer_loads();
+        router.update_slow_start();
+        router.evaluate_rollouts();
+    }
+}
+
+/// Pushes changes to a few peers at once, and bootstrap pushes to uninitialized peers; never
+/// returns.
+pub async fn push_updates(router: Rc<Router>, socket: Rc<UdpSocket>, store: Rc<StoreMonitor>) {
+    loop {
+        let spread = tokio::select! {
+            () = router.push_due.notified() => true,
+            () = router.bootstrap_push_due.notified() => false,
+        };
+        let own = own_gossip(&router, &store);
+        let outgoing = {
+            let mut peers = router.peers.borrow_mut();
+            peers.push(&own, spread, &mut rand::rng())
+        };
+        send(&router, &socket, outgoing).await;
+        sleep(MIN_PUSH_INTERVAL).await;
+    }
+}
+
+fn own_gossip(router: &Router, store: &StoreMonitor) -> OwnGossip {
+    let now = router.now();
+    let has_short_round = router.peers.borrow().has_short_round();
+    OwnGossip {
+        configuration: router.configuration_version(),
+        directory: router.directory_revision(),
+        serving: router.is_ready(),
+        directory_steady: store.is_steady(now) && router.directory_is_watched(),
+        in_flight: router.back_ends.borrow().own_loads(has_short_round, now),
+        reported_loads: if has_short_round {
+            Vec::new()
+        } else {
+            router.back_ends.borrow().reported_loads(now)
+        },
+        suspects: router.back_ends.borrow().suspects(MAX_SUSPECTS),
+        zone_drains: router.zone_drains.borrow().gossip(),
+    }
+}
+
+async fn send_tick(router: &Router, socket: &UdpSocket, store: &StoreMonitor) {
+    let own = own_gossip(router, store);
+    let outgoing = router.peers.borrow_mut().tick(&own, router.now());
+    send(router, socket, outgoing).await;
+}
+
+async fn send(router: &Router, socket: &UdpSocket, outgoing: Vec<OutgoingDatagram>) {
+    let ages = router.source_ages();
+    let reads = router.source_reads();
+    let records = router.quarantine.borrow_mut().gossip(router.now());
+    for datagram in outgoing {
+        let rollouts = router.rollout_gossip();
+        let bytes = encode_with_rollouts(&datagram.gossip, &records, &ages, &reads, &rollouts);
+        let bytes = match bytes {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                log::error!(target: "peers", "cannot encode datagram: {error}");
+                continue;
+            }
+        };
+        router.peers.borrow_mut().on_sent(bytes.len());
+        // A datagram that cannot be sent counts as lost, like any other lost datagram.
+        let _ = socket.send_to(&bytes, datagram.to).await;
+    }
+}
--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -14,7 +14,7 @@
 use stacktack_core::direct::back_ends::zone_drain::ZoneDrain;
 use stacktack_core::direct::request::attempt::AttemptFailure;
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::take_delta;
+use stacktack_direct::followers::apply_delta;
 use stacktack_direct::router::Router;
 
 use common::{after, router};
@@ -41,7 +41,7 @@
         present,
         gone,
     };
-    take_delta(router, delta, revision, RemovalEvidence::StoreSteady);
+    apply_delta(router, delta, revision, RemovalEvidence::StoreSteady);
 }
 
 /// A router that has chosen a life of back end `a` a moment ago.
@@ -86,12 +86,12 @@
         drained: true,
         revision: 2,
     };
-    router.take_zone_drain(&drain, "store");
+    router.merge_zone_drain(&drain, "store");
     assert!(!router.may_send("a", life), "its zone is drained");
 }
 
 #[test]
-fn what_was_not_sent_for_that_has_not_run_and_may_go_elsewhere() {
+fn a_request_to_a_back_end_that_left_was_not_run_and_counts_as_no_send() {
     assert!(AttemptFailure::BackEndLeft.proves_not_run());
     assert!(!AttemptFailure::BackEndLeft.counts_as_send());
 }
--- a/crates/stacktack-direct/tests/configuration_in_force/main.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/main.rs
@@ -22,33 +22,33 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod simulation;
 #[path = "../common/steady_peer.rs"]
 mod steady_peer;
-mod world;
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use stacktack_core::direct::back_ends::directory::DirectoryDelta;
 use stacktack_core::direct::sources::directory_source::RemovalEvidence;
-use stacktack_direct::followers::{take_delta, Dependency};
+use stacktack_direct::followers::{apply_delta, StoreMonitor};
 use stacktack_direct::router::Router;
 use tokio::time::sleep;
 
 use common::after;
-use world::{
+use simulation::{
     confirm_often, follow, latest_in_force, Link, Peer, Store, BOUND, IN_TOUCH, NARROW, PACE, WIDE,
 };
 
 /// A router that was away from the store, and followed its peers, has what is confirmed
 /// after its return in force within the bound, whenever the return falls.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_was_away_from_the_store_is_up_to_date_soon_after() {
+async fn a_router_is_up_to_date_soon_after_the_store_is_reachable_again() {
     for away in (5000..9000).step_by(250) {
         let link = Link::new(WIDE);
         let store = Store::new(link.clone(), Duration::from_millis(5));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
             let store = store.clone();
             async move {
                 after(3000).await;
@@ -73,14 +73,14 @@
 
 /// The same without peers: what was missed does not have to be read version by version.
 #[tokio::test(start_paused = true)]
-async fn what_was_missed_is_not_read_version_by_version() {
+async fn missed_versions_are_not_read_one_by_one() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(1000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.link.bytes_per_second.set(NARROW);
             store.set_reachable(false);
             after(300).await;
@@ -90,7 +90,7 @@
             after(7200).await;
             store.set_reachable(true);
             after(4000).await;
-            assert_eq!(router.version(), 41);
+            assert_eq!(router.configuration_version(), 41);
         }
     };
     follow(&store, None, script).await;
@@ -103,9 +103,9 @@
     for latency in [1360, 4000] {
         let store = Store::new(Link::new(NARROW), Duration::from_millis(latency));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
             after(latency + 1500).await;
-            assert_eq!(router.version(), 1, "at {latency} ms");
+            assert_eq!(router.configuration_version(), 1, "at {latency} ms");
         };
         follow(&store, None, script).await;
     }
@@ -114,16 +114,16 @@
 /// While a store answers late, versions are in force within two answers, also after a
 /// moment in which nobody was answered.
 #[tokio::test(start_paused = true)]
-async fn versions_stay_in_force_while_a_store_is_slow() {
+async fn versions_come_into_force_in_time_while_the_store_is_slow() {
     let latency = Duration::from_millis(1360);
     let store = Store::new(Link::new(NARROW), Duration::from_millis(5));
     store.link.bytes_per_second.set(WIDE);
     store.confirm();
-    let script = |router: Rc<Router>, dependency: Rc<Dependency>| {
+    let script = |router: Rc<Router>, dependency: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(3000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.link.bytes_per_second.set(NARROW);
             store.latency.set(latency);
             let watch = async {
@@ -150,9 +150,9 @@
 async fn a_document_over_a_narrow_link_arrives_in_one_transfer() {
     let store = Store::new(Link::new(200_000.0), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, None, script).await;
 }
@@ -164,20 +164,20 @@
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
     store.set_reachable(false);
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(4000).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, Some(Peer::new(link)), script).await;
 }
 
 /// The whole directory is awaited from a slow store too.
 #[tokio::test(start_paused = true)]
-async fn a_slow_store_tells_the_directory_at_a_start() {
+async fn a_router_that_starts_gets_the_directory_from_a_slow_store() {
     let store = Store::new(Link::new(NARROW), Duration::from_millis(1360));
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
-        assert_eq!(router.directory_changed.get(), 1);
+        assert_eq!(router.received_directory_revision.get(), 1);
     };
     follow(&store, None, script).await;
 }
@@ -189,20 +189,20 @@
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
     store.unanswered.set(2);
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(2500).await;
-        assert_eq!(router.version(), 1);
+        assert_eq!(router.configuration_version(), 1);
     };
     follow(&store, None, script).await;
 }
 
 /// What peers told is not asked of a store that has forgotten how it came about.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_forgot_its_history_is_read_as_it_stands() {
+async fn a_snapshot_is_read_from_a_store_that_forgot_its_history() {
     let link = Link::new(WIDE);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(1000).await;
@@ -216,7 +216,7 @@
             after(2000).await;
             store.confirm();
             after(2000).await;
-            assert_eq!(router.version(), 5);
+            assert_eq!(router.configuration_version(), 5);
         }
     };
     follow(&store, Some(Peer::new(link)), script).await;
@@ -225,22 +225,22 @@
 /// A router that is away from the store takes over from a peer what changed, and not a
 /// whole document for each version: 8 versions took 3,824,480 bytes as documents.
 #[tokio::test(start_paused = true)]
-async fn a_peer_hands_on_what_changed_and_not_the_document() {
+async fn a_peer_sends_changes_instead_of_the_whole_configuration() {
     let link = Link::new(NARROW);
     let store = Store::new(link.clone(), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let (store, link) = (store.clone(), link.clone());
         async move {
             after(3000).await;
-            assert_eq!(router.version(), 1);
+            assert_eq!(router.configuration_version(), 1);
             store.set_reachable(false);
             let before = link.carried.get();
             for _ in 0..8 {
                 store.confirm();
                 sleep(PACE).await;
             }
-            assert_eq!(router.version(), 9);
+            assert_eq!(router.configuration_version(), 9);
             let carried = link.carried.get() - before;
             assert!(carried < 20_000, "{carried} bytes");
         }
@@ -257,16 +257,20 @@
     store.set_reachable(false);
     let peer = Peer::new(link);
     let known_at_peer = peer.router.clone();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| async move {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| async move {
         after(1500).await;
         let delta = DirectoryDelta {
             revision: 7,
             ..DirectoryDelta::default()
         };
-        take_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
+        apply_delta(&known_at_peer, delta, 7, RemovalEvidence::StoreSteady);
         after(800).await;
-        assert_eq!(router.version(), 0, "the document is still on its way");
-        assert_eq!(router.directory_changed.get(), 7);
+        assert_eq!(
+            router.configuration_version(),
+            0,
+            "the document is still on its way"
+        );
+        assert_eq!(router.received_directory_revision.get(), 7);
     };
     follow(&store, Some(peer), script).await;
 }
@@ -276,20 +280,23 @@
 /// refused callers of a new route for the 20 s that the call could wait: nothing else
 /// showed that the store had answered all other calls since.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_is_never_answered_holds_news_up_for_seconds_only() {
+async fn a_call_that_is_never_answered_delays_updates_by_seconds_only() {
     let store = Store::new(Link::new(WIDE), Duration::from_millis(5));
     store.confirm();
-    let script = |router: Rc<Router>, _: Rc<Dependency>| {
+    let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
         let store = store.clone();
         async move {
             after(500).await;
             store.unanswered.set(1);
             store.confirm();
             after(500).await;
-            assert_eq!((router.version(), store.unanswered.get()), (2, 0));
+            assert_eq!(
+                (router.configuration_version(), store.unanswered.get()),
+                (2, 0)
+            );
             store.confirm();
             after(6000).await;
-            assert_eq!(router.version(), 3);
+            assert_eq!(router.configuration_version(), 3);
         }
     };
     follow(&store, None, script).await;
@@ -299,12 +306,12 @@
 /// then is in force within the bound all the same. The story is told in
 /// `followers/departures_in_time.rs`.
 #[tokio::test(start_paused = true)]
-async fn a_version_is_in_force_in_time_although_the_read_that_waits_is_dead() {
+async fn a_version_is_in_force_in_time_although_the_waiting_read_is_never_answered() {
     for pause in (0..6000).step_by(500) {
         let link = Link::new(WIDE);
         let store = Store::new(link, Duration::from_millis(5));
         store.confirm();
-        let script = |router: Rc<Router>, _: Rc<Dependency>| {
+        let script = |router: Rc<Router>, _: Rc<StoreMonitor>| {
             let store = store.clone();
             async move {
                 after(2000).await;
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -24,9 +24,9 @@
 use std::time::Duration;
 
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
-use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
-use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::followers::{fetch_from_peers, follow_directory, StoreMonitor};
+use stacktack_direct::peer_updates::{PeerQuery, PeerSource, PeerUpdate};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 use tokio::time::Instant;
@@ -48,7 +48,7 @@
         directory.set(id, true);
     }
     let router = router();
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_directory(router.clone(), directory.clone(), store) => {}
         () = beside_peers(router.clone(), || true) => {}
@@ -87,7 +87,7 @@
 
 /// All reads under way are dead, here and at all peers, and the store answers whoever asks anew.
 #[tokio::test(start_paused = true)]
-async fn a_departure_is_known_in_time_although_the_reads_that_wait_are_dead() {
+async fn a_departure_is_known_in_time_although_the_waiting_reads_are_never_answered() {
     for pause in (0..6000).step_by(250) {
         for by_row in [false, true] {
             let script = |directory: Rc<ScriptedDirectory>, router: Rc<Router>| async move {
@@ -101,7 +101,7 @@
                     false => directory.set_leaving("a"),
                 }
                 let known = known_after(&router, "a").await;
-                let bound = router.bounds().leave;
+                let bound = router.bounds().drain_timeout;
                 assert!(
                     known < bound,
                     "pause {pause} ms, by row {by_row}: {known:?}"
@@ -122,7 +122,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         if self.1.get() {
             return Box::pin(async { Err(SourceError::Refused(503)) });
         }
@@ -159,14 +159,14 @@
     for id in ["a", "b"] {
         pair.directory.set(id, true);
     }
-    let store = || Rc::new(Dependency::new("store").expect("chart"));
+    let store = || Rc::new(StoreMonitor::new("store").expect("chart"));
     let (own_store, peer_store) = (store(), store());
     let source = Rc::new(source(pair.peer.clone()));
     let directory = Rc::new(Away(pair.directory.clone(), pair.away.clone()));
     tokio::select! {
         () = follow_directory(pair.router.clone(), directory, own_store.clone()) => {}
         () = follow_directory(pair.peer.clone(), pair.directory.clone(), peer_store) => {}
-        () = follow_peers(pair.router.clone(), source) => {}
+        () = fetch_from_peers(pair.router.clone(), source) => {}
         () = script(pair.clone()) => {}
     }
 }
@@ -201,7 +201,7 @@
 /// and does not tell that the store answers it steadily. The router had heard of the departure, and
 /// never asked the peer for it.
 #[tokio::test(start_paused = true)]
-async fn a_departure_that_is_held_is_taken_from_a_peer_that_has_decided_it() {
+async fn a_pending_removal_is_fetched_from_a_peer_that_has_decided_it() {
     follow_beside_peer(ServingPeer, |pair| async move {
         after(3000).await;
         pair.away.set(true);
@@ -223,12 +223,12 @@
 const SILENT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1)), 9);
 
 impl PeerSource for OneSilentPeer {
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if peer == SILENT {
             return Box::pin(std::future::pending());
         }
@@ -239,14 +239,14 @@
 /// The store turns this router away, and the connection to the peer that is asked first says
 /// nothing: the departure is taken from another one in time.
 #[tokio::test(start_paused = true)]
-async fn a_departure_is_known_in_time_although_a_peer_says_nothing() {
+async fn a_departure_is_known_in_time_although_a_peer_never_answers() {
     follow_beside_peer(OneSilentPeer, |pair| async move {
         after(3000).await;
         pair.away.set(true);
         after(3000).await;
         pair.directory.set_leaving("a");
         let known = pair.known_after(&[SILENT, ANSWERING], true).await;
-        assert!(known < pair.router.bounds().leave, "{known:?}");
+        assert!(known < pair.router.bounds().drain_timeout, "{known:?}");
     })
     .await;
 }
@@ -289,7 +289,7 @@
 /// after its return: whoever only could not renew its entry may come back for 2.2 s from then on. A router
 /// that noticed the return late held the departure for as much longer than it may.
 #[tokio::test(start_paused = true)]
-async fn a_departure_right_before_an_outage_is_believed_in_time_after_it() {
+async fn a_removal_right_before_an_outage_takes_effect_in_time_after_it() {
     let mut latest = Duration::ZERO;
     // Pauses are drawn; the finer steps are where they mattered.
     let lengths = (100..2000).step_by(50).chain([2500, 4000, 7000]);
@@ -323,11 +323,11 @@
     }
     let router = router();
     // Only who has a configuration leaves the store to its peers.
-    router.adopt(Arc::new(TrafficConfiguration {
+    router.apply_configuration(Arc::new(TrafficConfiguration {
         version: 1,
         ..TrafficConfiguration::default()
     }));
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     let away_at = Instant::now() + Duration::from_millis(6000 + before);
     // The store stops answering the peers together with the router, and they notice its return no
     // sooner than it does.
--- a/crates/stacktack-direct/tests/followers/start_of_all.rs
+++ b/crates/stacktack-direct/tests/followers/simultaneous_starts.rs
@@ -10,9 +10,9 @@
 use futures_util::future::select_all;
 use futures_util::FutureExt;
 use hyper::StatusCode;
-use stacktack_direct::followers::{follow_directory, follow_peers};
-use stacktack_direct::knowledge::{hand_over, Knowledge, Known, PeerSource};
-use stacktack_direct::news::take;
+use stacktack_direct::followers::{fetch_from_peers, follow_directory};
+use stacktack_direct::gossip::merge_gossip;
+use stacktack_direct::peer_updates::{serve_peer, PeerQuery, PeerSource, PeerUpdate};
 use stacktack_direct::ports::{LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -38,24 +38,24 @@
 struct HandingOver(Vec<Rc<Router>>);
 
 impl PeerSource for HandingOver {
-    fn knowledge(
+    fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         let numbers = 0..self.0.len();
         let number = numbers.into_iter().find(|number| address(*number) == peer);
         let peer = self.0[number.expect("is a router")].clone();
         Box::pin(async move {
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
-            let (status, body, under_way) = hand_over(&peer, caller, &known.path_and_query());
+            let (status, body, under_way) = serve_peer(&peer, caller, &known.path_and_query());
             if status == StatusCode::SERVICE_UNAVAILABLE {
-                return Err(SourceError::NoRoom);
+                return Err(SourceError::NoCapacity);
             }
             sleep(COPY).await;
             drop(under_way);
-            Knowledge::read(&body)
+            PeerUpdate::decode(&body)
         })
     }
 }
@@ -66,7 +66,7 @@
         for (number, from) in routers.iter().enumerate() {
             let news = steady_peer(address(number), 0, from.directory_revision());
             for (_, to) in routers.iter().enumerate().filter(|(to, _)| *to != number) {
-                take(to, &news);
+                merge_gossip(to, &news);
             }
         }
         after(10).await;
@@ -87,7 +87,8 @@
     let starting = (0..STARTING).map(|_| router_with_seeds(&[address(0)]));
     let routers: Vec<Rc<Router>> = std::iter::once(first).chain(starting).collect();
     let source = Rc::new(HandingOver(routers.clone()));
-    let follow = |router: &Rc<Router>| follow_peers(router.clone(), source.clone()).boxed_local();
+    let follow =
+        |router: &Rc<Router>| fetch_from_peers(router.clone(), source.clone()).boxed_local();
     let followers = select_all(routers[1..].iter().map(follow));
     let begun = Instant::now();
     let know = async {
@@ -104,7 +105,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_no_room_asks_another_router_that_knows() {
+async fn a_router_refused_for_lack_of_capacity_fetches_from_another_peer() {
     for _ in 0..10 {
         let took = time_until_all_know(2000).await;
         assert!(took < Duration::from_millis(150), "{took:?}");
@@ -112,7 +113,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn small_documents_wait_for_no_turn() {
+async fn small_snapshots_are_not_limited() {
     for _ in 0..10 {
         let took = time_until_all_know(6).await;
         assert!(took < Duration::from_millis(50), "{took:?}");
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stacktack_direct::followers::{follow_directory, follow_peers, Dependency};
-use stacktack_direct::knowledge::{Knowledge, Known, PeerSource};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::followers::{fetch_from_peers, follow_directory, StoreMonitor};
+use stacktack_direct::peer_updates::{PeerQuery, PeerSource, PeerUpdate};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 
@@ -35,7 +35,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         self.calls.set(self.calls.get() + 1);
         self.directory.back_ends(after, wait, transfer)
     }
@@ -46,13 +46,13 @@
     loop {
         let news = steady_peer(SEED, 0, from.directory_revision());
         to.peers.borrow_mut().receive(&news, to.now());
-        to.take_ages(&news, &from.told_ages(), &from.told_reads());
+        to.apply_source_ages(&news, &from.source_ages(), &from.source_reads());
         after(100).await;
     }
 }
 
-pub fn store() -> Rc<Dependency> {
-    Rc::new(Dependency::new("store").expect("chart"))
+pub fn store() -> Rc<StoreMonitor> {
+    Rc::new(StoreMonitor::new("store").expect("chart"))
 }
 
 fn knows(router: &Router, id: &str) -> bool {
@@ -61,7 +61,7 @@
 
 /// A router starts beside one that serves, and follows it for half a minute in which back ends come and go.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_starts_beside_others_asks_the_store_nothing() {
+async fn a_router_that_joins_a_running_fleet_makes_no_calls_to_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
     for id in ["a", "b"] {
         directory.set(id, true);
@@ -85,7 +85,7 @@
         tokio::select! {
             () = start => {}
             () = follow_directory(starting.clone(), counted.clone(), store()) => {}
-            () = follow_peers(starting.clone(), Rc::new(ServingPeer(serving.clone()))) => {}
+            () = fetch_from_peers(starting.clone(), Rc::new(ServingPeer(serving.clone()))) => {}
             () = tell(serving.clone(), starting.clone()) => {}
         }
     };
@@ -98,34 +98,34 @@
 
 /// A process that stood still reads what waited meanwhile: what it says of ages was true then.
 #[tokio::test(start_paused = true)]
-async fn what_waited_while_the_process_stood_still_is_not_taken_for_new() {
+async fn a_process_counts_as_caught_up_only_some_time_after_a_stall() {
     let router = router();
     for _ in 0..5 {
         after(100).await;
-        router.note_running();
-        assert!(router.reads_in_time());
+        router.record_activity();
+        assert!(router.is_caught_up());
     }
     after(3000).await;
-    router.note_running();
+    router.record_activity();
     for _ in 0..4 {
-        assert!(!router.reads_in_time());
+        assert!(!router.is_caught_up());
         after(100).await;
-        router.note_running();
+        router.record_activity();
     }
     after(150).await;
-    assert!(router.reads_in_time());
+    assert!(router.is_caught_up());
 }
 
 /// A peer that answers nobody any more, and goes on to tell that it knows more.
 struct Mute(Rc<Router>, Rc<Cell<bool>>);
 
 impl PeerSource for Mute {
-    fn knowledge(
+    fn fetch_update(
         &self,
         _: SocketAddr,
-        known: Known,
+        known: PeerQuery,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<Knowledge, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if self.1.get() {
             return Box::pin(std::future::pending());
         }
@@ -136,7 +136,7 @@
 /// Whoever knows that there is news and gets it from nobody asks the store, though nothing that it
 /// knows is old.
 #[tokio::test(start_paused = true)]
-async fn news_that_no_peer_hands_over_is_asked_of_the_store() {
+async fn an_update_that_no_peer_provides_is_read_from_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
     directory.set("a", true);
     let (serving, starting) = (router(), router_with_seeds(&[SEED]));
@@ -147,7 +147,7 @@
         assert!(knows(&starting, "a"));
         mute.set(true);
         directory.set("b", true);
-        let bound = starting.bounds().leave;
+        let bound = starting.bounds().drain_timeout;
         after(bound.as_millis() as u64 * 8 / 10).await;
         assert!(knows(&starting, "b"));
     };
@@ -155,14 +155,14 @@
         () = script => {}
         () = follow_directory(serving.clone(), directory.clone(), store()) => {}
         () = follow_directory(starting.clone(), directory.clone(), store()) => {}
-        () = follow_peers(starting.clone(), source) => {}
+        () = fetch_from_peers(starting.clone(), source) => {}
         () = tell(serving.clone(), starting.clone()) => {}
     }
 }
 
 /// Nobody answers a router that starts: it asks the store before a caller would notice.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_hears_nobody_soon_asks_the_store() {
+async fn a_router_that_starts_without_live_peers_soon_asks_the_store() {
     for _ in 0..20 {
         let directory = Rc::new(ScriptedDirectory::default());
         directory.set("a", true);
@@ -177,7 +177,7 @@
 
 /// The one that everybody knows does not wait for others: they wait for it.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_others_know_from_the_settings_asks_at_once() {
+async fn a_seed_router_asks_the_store_at_once() {
     let directory = Rc::new(ScriptedDirectory::default());
     directory.set("a", true);
     let starting = router_with_seeds(&[SEED, SocketAddr::from(([127, 0, 0, 1], 9))]);
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -11,8 +11,8 @@
 use stacktack_core::direct::back_ends::directory::{BackEndEntry, DirectoryChange};
 use stacktack_core::time::Time;
 use stacktack_direct::clock::{Clock, RuntimeClock};
-use stacktack_direct::followers::{follow_directory, Dependency};
-use stacktack_direct::ports::{Directory, DirectoryNews, LocalBoxFuture, SourceError};
+use stacktack_direct::followers::{follow_directory, StoreMonitor};
+use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 use stacktack_node::clock::Reading;
@@ -61,16 +61,16 @@
         after: Option<u64>,
         wait: Duration,
         _: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<DirectoryNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<DirectoryUpdate, SourceError>> {
         self.calls.set(self.calls.get() + 1);
         Box::pin(async move {
             if after.is_some() {
                 tokio::time::sleep(wait).await;
             }
-            Ok(DirectoryNews {
-                told_at: 0,
+            Ok(DirectoryUpdate {
+                answered_at_ms: 0,
                 revision: 5,
-                ..DirectoryNews::default()
+                ..DirectoryUpdate::default()
             })
         })
     }
@@ -94,54 +94,57 @@
 
 /// A request whose time is over when its machine wakes ends at once, and not 8 s later.
 #[tokio::test(start_paused = true)]
-async fn what_is_past_its_limit_ends_when_the_machine_wakes() {
+async fn a_wait_past_its_deadline_ends_when_the_machine_resumes() {
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
-    let (ended, ()) = tokio::join!(router.before(limit, std::future::pending::<()>()), async {
-        after(1000).await;
-        clock.suspend(EIGHT);
-        after(100).await;
-        router.look_for_suspension();
-    });
+    let (ended, ()) = tokio::join!(
+        router.timeout_at(limit, std::future::pending::<()>()),
+        async {
+            after(1000).await;
+            clock.suspend(EIGHT);
+            after(100).await;
+            router.check_for_suspension();
+        }
+    );
     assert_eq!(ended, None);
     assert_eq!(begun.elapsed(), Duration::from_millis(1100));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_holds_without_a_suspension_and_after_a_short_one() {
+async fn a_suspension_counts_towards_a_later_deadline() {
     let (clock, router) = world();
     let limit = router.now() + Duration::from_secs(5);
     let begun = Instant::now();
-    let ((), ()) = tokio::join!(router.until(limit), async {
+    let ((), ()) = tokio::join!(router.sleep_until(limit), async {
         after(1000).await;
         clock.suspend(Duration::from_secs(2));
-        router.look_for_suspension();
+        router.check_for_suspension();
     });
     assert_eq!(begun.elapsed().as_secs(), 3);
 }
 
 /// Readings that differ by less than a moment are no suspension, also when they add up slowly.
 #[tokio::test(start_paused = true)]
-async fn clocks_that_are_read_one_after_the_other_are_no_suspension() {
+async fn small_clock_differences_do_not_count_as_a_suspension() {
     let (clock, router) = world();
     for _ in 0..3 {
         clock.suspend(Duration::from_millis(20));
-        router.look_for_suspension();
+        router.check_for_suspension();
     }
-    assert!(!router.awaits_news());
+    assert!(!router.awaits_contact());
     clock.suspend(Duration::from_millis(60));
-    router.look_for_suspension();
-    assert!(router.awaits_news());
+    router.check_for_suspension();
+    assert!(router.awaits_contact());
 }
 
 /// The store is asked anew at once: the call that waits there may be on a dead connection.
 #[tokio::test(start_paused = true)]
-async fn the_store_is_asked_at_once_and_believed_again_when_it_was_heard() {
+async fn after_a_suspension_the_store_is_polled_at_once_and_steady_after_the_renewal_period() {
     let local = tokio::task::LocalSet::new();
     let play = async {
         let (clock, router) = world();
-        let store = Rc::new(Dependency::new("store").expect("a chart"));
+        let store = Rc::new(StoreMonitor::new("store").expect("a chart"));
         let directory = Rc::new(QuietDirectory::default());
         tokio::task::spawn_local(follow_directory(
             router.clone(),
@@ -152,11 +155,11 @@
         let calls = directory.calls.get();
         assert!(store.is_steady(router.now()));
         clock.suspend(EIGHT);
-        router.look_for_suspension();
-        assert!(router.awaits_news());
+        router.check_for_suspension();
+        assert!(router.awaits_contact());
         after(10).await;
         assert_eq!(directory.calls.get(), calls + 1);
-        assert!(!router.awaits_news(), "the store was heard");
+        assert!(!router.awaits_contact(), "the store was heard");
         assert!(!store.is_steady(router.now()), "entries may have lapsed");
         after(2500).await;
         assert!(store.is_steady(router.now()));
@@ -165,26 +168,26 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_is_never_suspended_awaits_nothing() {
+async fn without_a_suspension_no_contact_is_awaited() {
     let router = router();
     after(60_000).await;
-    router.look_for_suspension();
-    assert!(!router.awaits_news());
+    router.check_for_suspension();
+    assert!(!router.awaits_contact());
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_nobody_is_heard_what_was_believed_holds_after_a_second() {
+async fn without_contact_knowledge_from_before_a_suspension_is_used_after_a_second() {
     let (clock, router) = world();
     clock.suspend(EIGHT);
-    router.look_for_suspension();
-    assert!(router.awaits_news());
+    router.check_for_suspension();
+    assert!(router.awaits_contact());
     after(1000).await;
-    assert!(!router.awaits_news());
+    assert!(!router.awaits_contact());
 }
 
 /// That no byte came while nothing could be read here says nothing of a back end.
 #[tokio::test(start_paused = true)]
-async fn a_suspension_is_no_silence_of_back_ends() {
+async fn a_suspension_does_not_count_as_silence_of_back_ends() {
     let (clock, router) = world();
     let entry = BackEndEntry {
         id: "b".to_owned(),
@@ -212,7 +215,7 @@
         },
     );
     clock.suspend(EIGHT);
-    router.look_for_suspension();
+    router.check_for_suspension();
     let silent = is_silent(&router);
     assert!(!silent);
     after(500).await;
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -18,9 +18,9 @@
 use stacktack_core::direct::back_ends::slow_start::SlowStart;
 use stacktack_core::direct::back_ends::zone_drain::{ZoneDrain, ZoneDrainUpdate};
 use stacktack_core::direct::traffic::route::TrafficConfiguration;
-use stacktack_direct::followers::{follow_configuration, follow_zone_drains, Dependency};
+use stacktack_direct::followers::{follow_configuration, read_missed_zone_drains, StoreMonitor};
 use stacktack_direct::ports::{
-    ConfigurationNews, ConfigurationSource, LocalBoxFuture, RolloutOrderNews, SourceError,
+    ConfigurationSource, ConfigurationUpdate, LocalBoxFuture, RolloutOrderUpdate, SourceError,
 };
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
@@ -91,21 +91,21 @@
         }
     }
 
-    fn news(&self, after: Option<u64>) -> ConfigurationNews {
+    fn news(&self, after: Option<u64>) -> ConfigurationUpdate {
         let version = self.configuration.get();
         let is_new = version > after.unwrap_or(0);
-        ConfigurationNews {
-            told_at: 0,
+        ConfigurationUpdate {
+            answered_at_ms: 0,
             revision: self.revision.get(),
-            versions: usize::from(is_new),
+            version_count: usize::from(is_new),
             configuration: is_new.then(|| configuration(version)),
             invalid: false,
             zone_drains: self.zone_drains(after),
-            rollouts: RolloutOrderNews::default(),
+            rollouts: RolloutOrderUpdate::default(),
         }
     }
 
-    async fn changed_news(&self, after: u64) -> Result<ConfigurationNews, SourceError> {
+    async fn changed_news(&self, after: u64) -> Result<ConfigurationUpdate, SourceError> {
         loop {
             let changed = self.changed.notified();
             if self.down.get() {
@@ -115,7 +115,7 @@
                 return Err(SourceError::HistoryGone);
             }
             let news = self.news(Some(after));
-            if news.versions > 0 || !news.zone_drains.changes.is_empty() {
+            if news.version_count > 0 || !news.zone_drains.changes.is_empty() {
                 return Ok(news);
             }
             changed.await;
@@ -143,7 +143,7 @@
         after: Option<u64>,
         wait: Duration,
         transfer: Rc<Transfer>,
-    ) -> LocalBoxFuture<'_, Result<ConfigurationNews, SourceError>> {
+    ) -> LocalBoxFuture<'_, Result<ConfigurationUpdate, SourceError>> {
         Box::pin(async move {
             common::after(4).await;
             if self.down.get() {
@@ -202,10 +202,10 @@
         let mut back_ends = router.back_ends.borrow_mut();
         back_ends.upsert(entry(id, zone), router.now(), &mut change);
     }
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
-        () = follow_zone_drains(router.clone(), operator.clone(), store.clone()) => {}
+        () = read_missed_zone_drains(router.clone(), operator.clone(), store.clone()) => {}
         () = script(operator, router) => {}
     }
 }
@@ -227,25 +227,25 @@
 const KNOWS_FLEET: u64 = 2100;
 
 #[tokio::test(start_paused = true)]
-async fn a_drained_zone_gets_nothing_until_that_is_taken_back() {
+async fn a_drained_zone_gets_no_requests_until_it_is_undrained() {
     follow(|operator, router| async move {
         after(KNOWS_FLEET).await;
         assert_eq!(open(&router), ["one", "two"]);
         operator.drain("b", true);
         after(SOON).await;
         assert_eq!(open(&router), ["one"]);
-        assert!(!router.is_drained(&[]));
+        assert!(!router.is_pool_drained(&[]));
         operator.drain("a", true);
         after(SOON).await;
         assert!(open(&router).is_empty());
-        assert!(router.is_drained(&[]));
+        assert!(router.is_pool_drained(&[]));
         operator.drain("a", false);
         after(SOON).await;
         assert!(open(&router).is_empty(), "it may have turned cold");
-        router.update_cold();
+        router.update_slow_start();
         assert_eq!(open(&router), ["one"], "a first request may go there");
         after(3000).await;
-        router.update_cold();
+        router.update_slow_start();
         assert_eq!(open(&router), ["one"]);
         assert_eq!(operator.zone_reads.get(), 0, "all came with the feed");
     })
@@ -253,22 +253,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_router_that_starts_during_a_drain_knows_it_with_its_configuration() {
+async fn a_router_that_starts_during_a_drain_gets_it_with_its_configuration() {
     let operator = Rc::new(Operator::default());
     operator.configure();
     operator.drain("b", true);
     let router = router();
-    let store = Rc::new(Dependency::new("store").expect("chart"));
+    let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
         () = after(SOON) => {}
     }
-    assert_eq!(router.version(), 1);
+    assert_eq!(router.configuration_version(), 1);
     assert!(router.zone_drains.borrow().is_drained("b"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn drains_are_right_after_a_history_was_forgotten() {
+async fn drains_are_correct_after_the_store_forgot_its_history() {
     follow(|operator, router| async move {
         operator.drain("b", true);
         after(SOON).await;
@@ -289,14 +289,14 @@
 /// A router that has a newer configuration from a peer goes on from its revision. What
 /// the operator asked of zones before that is read apart; without that it was never heard.
 #[tokio::test(start_paused = true)]
-async fn drains_before_a_version_that_a_peer_told_are_not_missed() {
+async fn drains_older_than_a_configuration_from_a_peer_are_not_missed() {
     follow(|operator, router| async move {
         after(SOON).await;
         operator.set_down(true);
         after(1000).await;
         operator.drain("b", true);
         operator.configure();
-        router.adopt(Arc::new(configuration(operator.configuration.get())));
+        router.apply_configuration(Arc::new(configuration(operator.configuration.get())));
         after(1000).await;
         assert!(!router.zone_drains.borrow().is_drained("b"));
         operator.set_down(false);
@@ -310,7 +310,7 @@
 /// What a peer tells counts while the store says nothing; the store's later word goes
 /// first.
 #[tokio::test(start_paused = true)]
-async fn peers_tell_while_the_store_turns_the_router_away() {
+async fn drains_from_peers_apply_while_the_store_is_down_until_the_store_has_newer_ones() {
     follow(|operator, router| async move {
         after(SOON).await;
         operator.set_down(true);
@@ -321,15 +321,15 @@
             revision: operator.revision.get(),
         };
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
-        let news = steady_peer(from, router.version(), 1);
+        let news = steady_peer(from, router.configuration_version(), 1);
         router.peers.borrow_mut().receive(&news, router.now());
-        router.take_zone_drain(&told, "peer");
+        router.merge_zone_drain(&told, "peer");
         assert_eq!(open(&router), ["one"]);
         operator.drain("b", false);
         operator.set_down(false);
         after(2500).await;
         assert!(!router.zone_drains.borrow().is_drained("b"));
-        router.take_zone_drain(&told, "peer");
+        router.merge_zone_drain(&told, "peer");
         assert!(!router.zone_drains.borrow().is_drained("b"), "late news");
     })
     .await;
@@ -337,12 +337,12 @@
 
 /// An unknown zone refuses nobody.
 #[tokio::test(start_paused = true)]
-async fn a_drain_of_a_zone_that_nobody_knows_changes_nothing() {
+async fn a_drain_of_an_unknown_zone_changes_nothing() {
     follow(|operator, router| async move {
         operator.drain("elsewhere", true);
         after(SOON).await;
         assert_eq!(open(&router), ["one", "two"]);
-        assert!(!router.is_drained(&[]));
+        assert!(!router.is_pool_drained(&[]));
     })
     .await;
 }
