--- a/crates/stacktack-direct/tests/before_sending.rs
+++ b/crates/stacktack-direct/tests/before_sending.rs
@@ -1,5 +1,5 @@
-//! What is looked at once more when the connection to a chosen back end is there. News that came
-//! since the choice counts: a connection takes up to 150 ms.
+//! Check of a selected back end right before a request is sent to it. Connecting takes up to
+//! 150 ms, and updates that arrive in the meantime count.
 
 mod common;
 
@@ -33,7 +33,7 @@
     }
 }
 
-fn take(router: &Router, present: Vec<BackEndEntry>, gone: Vec<RemovedEntry>) {
+fn apply(router: &Router, present: Vec<BackEndEntry>, gone: Vec<RemovedEntry>) {
     let revision = present.first().map_or(9, |entry| entry.revision);
     let delta = DirectoryDelta {
         revision,
@@ -44,50 +44,53 @@
     apply_delta(router, delta, revision, RemovalEvidence::StoreSteady);
 }
 
-/// A router that has chosen a life of back end `a` a moment ago.
-async fn chosen() -> (Rc<Router>, InstanceId) {
+/// Creates a router that selected an instance of back end `a` a moment ago.
+async fn router_after_selection() -> (Rc<Router>, InstanceId) {
     let router = router();
-    take(&router, vec![entry(1)], Vec::new());
-    let life = InstanceId::of(&entry(1));
-    assert!(router.may_send("a", life));
+    apply(&router, vec![entry(1)], Vec::new());
+    let instance = InstanceId::of(&entry(1));
+    assert!(router.may_send("a", instance));
     after(100).await;
-    (router, life)
+    (router, instance)
 }
 
 #[tokio::test(start_paused = true)]
 async fn nothing_is_sent_to_a_back_end_that_has_left_since_it_was_chosen() {
-    let (router, life) = chosen().await;
+    let (router, instance) = router_after_selection().await;
     let leaving = BackEndEntry {
         leaving: true,
         ..entry(2)
     };
-    take(&router, vec![leaving], Vec::new());
-    assert!(!router.may_send("a", life), "it says that it leaves");
+    apply(&router, vec![leaving], Vec::new());
+    assert!(
+        !router.may_send("a", instance),
+        "it announced that it leaves"
+    );
 
-    let (router, life) = chosen().await;
-    let departure = RemovedEntry {
+    let (router, instance) = router_after_selection().await;
+    let removed = RemovedEntry {
         id: "a".to_owned(),
         revision: 2,
     };
-    take(&router, Vec::new(), vec![departure]);
-    assert!(!router.may_send("a", life), "its entry went");
+    apply(&router, Vec::new(), vec![removed]);
+    assert!(!router.may_send("a", instance), "its entry was removed");
 
-    let (router, life) = chosen().await;
-    let reborn = BackEndEntry {
+    let (router, instance) = router_after_selection().await;
+    let restarted = BackEndEntry {
         born: 200,
         ..entry(2)
     };
-    take(&router, vec![reborn], Vec::new());
-    assert!(!router.may_send("a", life), "it is in another life");
+    apply(&router, vec![restarted], Vec::new());
+    assert!(!router.may_send("a", instance), "it is another instance");
 
-    let (router, life) = chosen().await;
+    let (router, instance) = router_after_selection().await;
     let drain = ZoneDrain {
         zone: "z1".to_owned(),
         drained: true,
         revision: 2,
     };
     router.merge_zone_drain(&drain, "store");
-    assert!(!router.may_send("a", life), "its zone is drained");
+    assert!(!router.may_send("a", instance), "its zone is drained");
 }
 
 #[test]
--- a/crates/stacktack-direct/tests/common/mod.rs
+++ b/crates/stacktack-direct/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router without sockets, for tests on virtual time.
+//! Routers without sockets, for tests on virtual time.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,13 +18,13 @@
 use stacktack_node::metrics::Metrics;
 use tokio::time::sleep;
 
-/// A protocol for a router that gets no requests, or refuses all with a body.
+/// A protocol for a router that gets no requests, or refuses all of them with the same body.
 #[derive(Default)]
-struct NoProtocol {
+struct RefusingProtocol {
     refusal: Bytes,
 }
 
-impl Protocol for NoProtocol {
+impl Protocol for RefusingProtocol {
     fn read_request(&self, _: &request::Parts) -> CallerRequest {
         CallerRequest::default()
     }
@@ -50,45 +50,51 @@
     }
 }
 
-/// A router that knows nothing yet.
+/// Creates a router without configuration and directory.
 pub fn router() -> Rc<Router> {
     router_with(Rc::new(RuntimeClock::start()))
 }
 
-/// The same with a clock of the test's own.
+/// Creates a router without configuration and directory that reads the given clock.
 pub fn router_with(clock: Rc<dyn Clock>) -> Rc<Router> {
-    router_of(clock, &[], NoProtocol::default())
+    router_from(clock, &[], RefusingProtocol::default())
 }
 
-/// A router that knows these others from its settings.
-#[allow(
-    dead_code,
-    reason = "not all tests that share this module start beside others"
-)]
+/// Creates a router whose settings contain the given seed routers.
+#[allow(dead_code, reason = "not all tests that share this module use seeds")]
 pub fn router_with_seeds(seeds: &[SocketAddr]) -> Rc<Router> {
-    router_of(Rc::new(RuntimeClock::start()), seeds, NoProtocol::default())
+    router_from(
+        Rc::new(RuntimeClock::start()),
+        seeds,
+        RefusingProtocol::default(),
+    )
 }
 
-/// A router that knows nothing yet and refuses all with a body.
+/// Creates a router without configuration and directory that refuses all requests with `refusal` as
+/// body.
 #[allow(
     dead_code,
     reason = "not all tests that share this module send requests"
 )]
 pub fn router_that_refuses_with(refusal: Bytes) -> Rc<Router> {
     let clock = Rc::new(RuntimeClock::start());
-    router_of(clock, &[], NoProtocol { refusal })
+    router_from(clock, &[], RefusingProtocol { refusal })
 }
 
-fn router_of(clock: Rc<dyn Clock>, seeds: &[SocketAddr], protocol: NoProtocol) -> Rc<Router> {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+fn router_from(
+    clock: Rc<dyn Clock>,
+    seeds: &[SocketAddr],
+    protocol: RefusingProtocol,
+) -> Rc<Router> {
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
     let settings = DirectSettings {
         name: "router".to_owned(),
         zone: "zone".to_owned(),
-        callers: nowhere,
-        readiness: nowhere,
-        metrics: nowhere,
+        callers: unused_address,
+        readiness: unused_address,
+        metrics: unused_address,
         peers: PeerSettings {
-            listen: nowhere,
+            listen: unused_address,
             seeds: seeds.to_vec(),
         },
         bounds: Bounds {
@@ -109,7 +115,7 @@
     Rc::new(Router::new(settings, Rc::new(protocol), instruments, clock))
 }
 
-/// Lets time pass.
+/// Sleeps for a number of milliseconds.
 pub async fn after(milliseconds: u64) {
     sleep(Duration::from_millis(milliseconds)).await;
 }
--- a/crates/stacktack-direct/tests/common/steady_peer.rs
+++ b/crates/stacktack-direct/tests/common/steady_peer.rs
@@ -1,11 +1,12 @@
-//! News of a peer.
+//! Gossip of a peer.
 
 use std::net::SocketAddr;
 
 use stacktack_core::direct::peers::peer_gossip::{PeerGossip, ZoneHash};
 
-/// What a peer with these beliefs tells that the store answers steadily.
-pub fn steady_peer(from: SocketAddr, configuration: u64, directory: u64) -> PeerGossip {
+/// Gossip of a peer that has this configuration version and directory revision, and that the store
+/// answers steadily.
+pub fn steady_peer_gossip(from: SocketAddr, configuration: u64, directory: u64) -> PeerGossip {
     PeerGossip {
         from,
         incarnation: 1,
--- a/crates/stacktack-direct/tests/configuration_in_force/simulation.rs
+++ b/crates/stacktack-direct/tests/configuration_in_force/simulation.rs
@@ -1,4 +1,4 @@
-//! A store, a peer and a link on virtual time, and a router that follows them.
+//! Simulation of a store, a peer and a link on virtual time, and a router that follows them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -26,40 +26,45 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::common::{after, router};
-use crate::steady_peer::steady_peer;
+use crate::steady_peer::steady_peer_gossip;
 
-/// Routes of the document, and its size in the store with them.
+/// Number of routes of the configuration before its first version adds one.
 const ROUTES: u64 = 1650;
+
+/// Size of a document with these routes in the store.
 const DOCUMENT_BYTES: usize = 430_000;
 
-/// What callers leave of a link of 10 Mbit/s, in bytes a second.
-pub const NARROW: f64 = 800_000.0;
+/// Bandwidth that the traffic of callers leaves of a link of 10 Mbit/s.
+pub const NARROW_BYTES_PER_SECOND: f64 = 800_000.0;
 
-/// A link on which the size of a document hardly counts, in bytes a second.
-pub const WIDE: f64 = 20_000_000.0;
+/// Bandwidth at which the size of a document hardly matters.
+pub const WIDE_BYTES_PER_SECOND: f64 = 20_000_000.0;
 
-/// Time between versions while an operator stores one after the other.
-pub const PACE: Duration = Duration::from_millis(1350);
+/// Interval between versions while an operator stores one after the other.
+pub const VERSION_INTERVAL: Duration = Duration::from_millis(1350);
 
 /// Time within which a confirmed version has to be in force.
-pub const BOUND: Duration = Duration::from_secs(3);
+pub const APPLY_BOUND: Duration = Duration::from_secs(3);
 
-/// Time after the store's return from which the bound holds.
-pub const IN_TOUCH: Duration = Duration::from_secs(4);
+/// Time after the store is reachable again from which the bound holds.
+pub const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
-/// A link whose transfers share its bandwidth.
+/// A link whose transfers share its bandwidth equally.
 pub struct Link {
     pub bytes_per_second: Cell<f64>,
-    pub active: Cell<u32>,
-    pub carried: Cell<usize>,
+    pub active_transfers: Cell<u32>,
+    /// Total bytes carried.
+    pub bytes_carried: Cell<usize>,
 }
 
-/// One transfer's share of a link; ends when it is dropped.
-struct Share<'a>(&'a Link);
+/// Counts one active transfer of a link until it is dropped.
+struct TransferGuard<'a>(&'a Link);
 
-impl Drop for Share<'_> {
+impl Drop for TransferGuard<'_> {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0
+            .active_transfers
+            .set(self.0.active_transfers.get() - 1);
     }
 }
 
@@ -67,42 +72,44 @@
     pub fn new(bytes_per_second: f64) -> Rc<Self> {
         Rc::new(Link {
             bytes_per_second: Cell::new(bytes_per_second),
-            active: Cell::new(0),
-            carried: Cell::new(0),
+            active_transfers: Cell::new(0),
+            bytes_carried: Cell::new(0),
         })
     }
 
+    /// Transfers a number of bytes.
     pub async fn carry(&self, bytes: usize, transfer: &Transfer) {
-        const PIECE: usize = 16 * 1024;
-        self.active.set(self.active.get() + 1);
-        let _share = Share(self);
+        const CHUNK_BYTES: usize = 16 * 1024;
+        self.active_transfers.set(self.active_transfers.get() + 1);
+        let _guard = TransferGuard(self);
         transfer.on_bytes(1);
-        let mut left = bytes;
-        while left > 0 {
-            let piece = left.min(PIECE);
-            let seconds = piece as f64 * f64::from(self.active.get()) / self.bytes_per_second.get();
+        let mut remaining = bytes;
+        while remaining > 0 {
+            let chunk = remaining.min(CHUNK_BYTES);
+            let seconds =
+                chunk as f64 * f64::from(self.active_transfers.get()) / self.bytes_per_second.get();
             sleep(Duration::from_secs_f64(seconds)).await;
-            transfer.on_bytes(piece);
-            self.carried.set(self.carried.get() + piece);
-            left -= piece;
+            transfer.on_bytes(chunk);
+            self.bytes_carried.set(self.bytes_carried.get() + chunk);
+            remaining -= chunk;
         }
     }
 }
 
-/// A store that keeps every version, as a feed of changes does.
+/// A store that returns every version after a revision, as a feed of changes does.
 pub struct Store {
     pub link: Rc<Link>,
-    /// Time that each answer takes to begin.
+    /// Time until each answer begins.
     pub latency: Cell<Duration>,
     pub reachable: Cell<bool>,
-    /// Calls from now on that are never answered.
-    pub unanswered: Cell<u32>,
-    /// Revisions before this one are forgotten.
-    pub forgotten: Cell<u64>,
+    /// Number of next calls that are never answered.
+    pub unanswered_calls: Cell<u32>,
+    /// Oldest revision after which changes are still kept.
+    pub oldest_kept_revision: Cell<u64>,
     /// Versions and when they were confirmed; the revision is the index + 1.
     pub confirmed: RefCell<Vec<(u64, Instant)>>,
     pub changed: Notify,
-    begun: Instant,
+    started: Instant,
 }
 
 impl Store {
@@ -111,14 +118,15 @@
             link,
             latency: Cell::new(latency),
             reachable: Cell::new(true),
-            unanswered: Cell::new(0),
-            forgotten: Cell::new(0),
+            unanswered_calls: Cell::new(0),
+            oldest_kept_revision: Cell::new(0),
             confirmed: RefCell::default(),
             changed: Notify::new(),
-            begun: Instant::now(),
+            started: Instant::now(),
         })
     }
 
+    /// Confirms the next version.
     pub fn confirm(&self) {
         let mut confirmed = self.confirmed.borrow_mut();
         let version = confirmed.len() as u64 + 1;
@@ -132,9 +140,9 @@
         self.changed.notify_waiters();
     }
 
-    /// Its clock, in milliseconds.
-    fn clock(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64 + 1
+    /// Time on the clock of the store in milliseconds.
+    fn clock_ms(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64 + 1
     }
 
     pub fn revision(&self) -> u64 {
@@ -145,8 +153,8 @@
         self.confirmed.borrow()[version as usize - 1].1
     }
 
-    /// Waits until there is something after a revision, or fails with the store.
-    pub async fn news_after(&self, revision: u64) -> Result<(), SourceError> {
+    /// Waits until there is a version after a revision; fails when the store becomes unreachable.
+    pub async fn wait_for_update(&self, revision: u64) -> Result<(), SourceError> {
         loop {
             let changed = self.changed.notified();
             if !self.reachable.get() {
@@ -159,6 +167,7 @@
         }
     }
 
+    /// Reads the versions after a revision, or the latest one without a revision.
     pub async fn read(
         &self,
         after: Option<u64>,
@@ -169,15 +178,15 @@
             sleep(Duration::from_millis(6)).await;
             return Err(SourceError::Unreached);
         }
-        if self.unanswered.get() > 0 {
-            self.unanswered.set(self.unanswered.get() - 1);
+        if self.unanswered_calls.get() > 0 {
+            self.unanswered_calls.set(self.unanswered_calls.get() - 1);
             return std::future::pending().await;
         }
         if let Some(revision) = after {
-            if revision < self.forgotten.get() {
+            if revision < self.oldest_kept_revision.get() {
                 return Err(SourceError::HistoryGone);
             }
-            if let Ok(Err(error)) = timeout(wait, self.news_after(revision)).await {
+            if let Ok(Err(error)) = timeout(wait, self.wait_for_update(revision)).await {
                 return Err(error);
             }
         }
@@ -191,7 +200,7 @@
         self.link.carry(bytes, transfer).await;
         Ok(ConfigurationUpdate {
             revision,
-            answered_at_ms: self.clock(),
+            answered_at_ms: self.clock_ms(),
             version_count: documents as usize,
             configuration: (documents > 0).then(|| configuration(revision)),
             invalid: false,
@@ -245,7 +254,7 @@
             transfer.on_bytes(1);
             Ok(DirectoryUpdate {
                 revision: 1,
-                answered_at_ms: self.clock(),
+                answered_at_ms: self.clock_ms(),
                 delta: DirectoryDelta {
                     whole: after.is_none(),
                     revision: 1,
@@ -257,7 +266,7 @@
     }
 }
 
-/// Version `version` of the configuration: each adds one route.
+/// Version `version` of the configuration; each version adds one route.
 fn configuration(version: u64) -> TrafficConfiguration {
     TrafficConfiguration {
         version,
@@ -292,7 +301,7 @@
     }
 }
 
-/// A peer with all that is confirmed, behind the router's link.
+/// A peer that has all confirmed versions, reached over the router's link.
 pub struct Peer {
     pub router: Rc<Router>,
     pub link: Rc<Link>,
@@ -311,19 +320,19 @@
     fn fetch_update(
         &self,
         _: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         transfer: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         Box::pin(async move {
-            let (_, body) = respond_to_peer(&self.router, &known.path_and_query());
+            let (_, body) = respond_to_peer(&self.router, &query.path_and_query());
             self.link.carry(body.len(), &transfer).await;
             PeerUpdate::decode(&body)
         })
     }
 }
 
-/// Takes each version over at the peer, and tells the router of it.
-async fn keep_peer(peer: Rc<Peer>, store: Rc<Store>, router: Rc<Router>) {
+/// Applies each version at the peer, and gossips the peer's versions to the router.
+async fn keep_peer_up_to_date(peer: Rc<Peer>, store: Rc<Store>, router: Rc<Router>) {
     loop {
         sleep(Duration::from_millis(100)).await;
         while peer.router.configuration_version() < store.revision() {
@@ -335,39 +344,42 @@
             peer.router.configuration_version(),
             peer.router.directory_revision(),
         );
-        let news = steady_peer(SocketAddr::from(([127, 0, 0, 1], 10)), version, revision);
-        router.peers.borrow_mut().receive(&news, router.now());
+        let gossip = steady_peer_gossip(SocketAddr::from(([127, 0, 0, 1], 10)), version, revision);
+        router.peers.borrow_mut().receive(&gossip, router.now());
     }
 }
 
-/// Runs a script beside a router that follows the store, and a peer if there is one.
+/// Runs a script while a router follows the store, and a peer if there is one.
 pub async fn follow<F: std::future::Future<Output = ()>>(
     store: &Rc<Store>,
     peer: Option<Rc<Peer>>,
     script: impl FnOnce(Rc<Router>, Rc<StoreMonitor>) -> F,
 ) {
     let router = router();
-    let dependency = Rc::new(StoreMonitor::new("store").expect("chart"));
-    let configuration = follow_configuration(router.clone(), store.clone(), dependency.clone());
-    let directory = follow_directory(router.clone(), store.clone(), dependency.clone());
+    let monitor = Rc::new(StoreMonitor::new("store").expect("chart"));
+    let configuration = follow_configuration(router.clone(), store.clone(), monitor.clone());
+    let directory = follow_directory(router.clone(), store.clone(), monitor.clone());
     let peers = async {
         let Some(peer) = peer else {
             return std::future::pending().await;
         };
         let following = fetch_from_peers(router.clone(), peer.clone());
-        tokio::join!(following, keep_peer(peer, store.clone(), router.clone()));
+        tokio::join!(
+            following,
+            keep_peer_up_to_date(peer, store.clone(), router.clone())
+        );
     };
     tokio::select! {
         () = configuration => {}
         () = directory => {}
         () = peers => {}
-        () = script(router.clone(), dependency.clone()) => {}
+        () = script(router.clone(), monitor.clone()) => {}
     }
 }
 
-/// Longest time for which a confirmed version was not in force, watched for `span`.
-pub async fn latest_in_force(router: &Router, store: &Store, span: Duration) -> Duration {
-    let end = Instant::now() + span;
+/// Longest time for which a confirmed version was not in force, observed for `duration`.
+pub async fn max_apply_delay(router: &Router, store: &Store, duration: Duration) -> Duration {
+    let end = Instant::now() + duration;
     let mut longest = Duration::ZERO;
     while Instant::now() < end {
         let first_missing = router.configuration_version() + 1;
@@ -379,10 +391,10 @@
     longest
 }
 
-/// Confirms a version at every [`PACE`], for ever.
-pub async fn confirm_often(store: &Store) {
+/// Confirms a version at every [`VERSION_INTERVAL`], forever.
+pub async fn confirm_repeatedly(store: &Store) {
     loop {
-        sleep(PACE).await;
+        sleep(VERSION_INTERVAL).await;
         store.confirm();
     }
 }
--- a/crates/stacktack-direct/tests/followers/departures_in_time.rs
+++ b/crates/stacktack-direct/tests/followers/departures_in_time.rs
@@ -1,20 +1,23 @@
-//! How soon a router knows that a back end leaves, on virtual time.
+//! How soon a router knows the departure of a back end, on virtual time. A back end departs when it
+//! announces that it leaves, or when its entry disappears from the directory.
 //!
-//! The story. Users saw requests reach back ends more than 4 s after the store had confirmed
-//! that they leave, from routers that nothing had struck: 213 in many runs before 180 back
-//! ends, several routers at the same moment. In a play of our own all 103 routers had got the
-//! same news, gathered for 2 s in step, and asked again together, inside the one second in which the
-//! store answered nobody. Their connections said nothing from then on. Each waited for news for
-//! 20 s, no peer knew more, and ten back ends left meanwhile: 267 requests late, up to 10 s.
+//! These tests guard against the following failure. Requests reached back ends more than 4 s after
+//! the store had confirmed that these leave, sent by routers that had suffered no fault: 213
+//! requests in many runs with 180 back ends, sent by several routers at the same time. In a
+//! simulation, all 103 routers had received the same update, collected further updates for 2 s in
+//! step, and asked the store again at the same time, in the one second in which it answered nobody.
+//! Their connections stayed silent from then on. Each router waited there for updates for 20 s, no
+//! peer had a newer revision, and ten back ends left meanwhile: 267 requests were up to 10 s late.
 //!
-//! The evidence: no line of the directory at any router from 11.6 to 34.8 s; then all of them
-//! lose the store within 10 ms and have it back 0.1 s later. With real processes, 24 routers
-//! whose connections to the store fall silent: 242 requests late, `stale=true` at all of them
-//! for up to 20 s, `store_lost=false` in each of these lines, none held, no timer later than 0.7 s.
+//! No router logged an update of the directory from 11.6 to 34.8 s; then all of them lost the store
+//! within 10 ms and regained it 0.1 s later. With 24 router processes whose connections to the
+//! store fall silent, 242 requests were late. All routers logged `stale=true` for up to 20 s, and
+//! `store_lost=false` in each of these lines; no removal was pending, and no timer fired more than
+//! 0.7 s late.
 //!
-//! The cause: how long a read may wait followed the number of routers and not the time in which
-//! a departure has to be known; and nobody could tell a store with nothing to say from a
-//! connection that says nothing.
+//! The causes: how long a read may wait depended on the number of routers, and not on the time in
+//! which a departure has to be known; and a router could not tell a store without updates from a
+//! connection that is dead without a reset.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -33,13 +36,14 @@
 
 use crate::common::{after, router};
 use crate::scripted_directory::ScriptedDirectory;
-use crate::serving_peer::{told_by, ServingPeer};
-use crate::steady_peer::steady_peer;
+use crate::serving_peer::{update_from, ServingPeer};
+use crate::steady_peer::steady_peer_gossip;
 
-/// Peers that wait in step with the router and know no more than it does.
+/// Number of peers, which wait in step with the router and know no more than it does.
 const PEERS: u8 = 102;
 
-/// Runs a script beside a router that follows a directory with back ends `a`, `b` and `c`.
+/// Runs a script while a router with steady peers follows a directory with back ends `a`, `b` and
+/// `c`.
 async fn follow<F: Future<Output = ()>>(
     script: impl FnOnce(Rc<ScriptedDirectory>, Rc<Router>) -> F,
 ) {
@@ -51,72 +55,74 @@
     let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_directory(router.clone(), directory.clone(), store) => {}
-        () = beside_peers(router.clone(), || true) => {}
+        () = gossip_from_peers(router.clone(), || true) => {}
         () = script(directory, router.clone()) => {}
     }
 }
 
-/// Peers tell for ever that they know as much as the router, and whether the store answered
+/// Peers gossip, forever, the directory revision of the router, and whether the directory answers
 /// them steadily.
-async fn beside_peers(router: Rc<Router>, settled: impl Fn() -> bool) {
+async fn gossip_from_peers(router: Rc<Router>, steady: impl Fn() -> bool) {
     loop {
         after(100).await;
         let now = router.now();
         for number in 0..PEERS {
             let from = SocketAddr::from(([127, 0, 1, number], 9));
-            let mut news = steady_peer(from, 0, router.directory_revision());
-            news.directory_steady = settled();
-            router.peers.borrow_mut().receive(&news, now);
+            let mut gossip = steady_peer_gossip(from, 0, router.directory_revision());
+            gossip.directory_steady = steady();
+            router.peers.borrow_mut().receive(&gossip, now);
         }
     }
 }
 
-fn takes_work(router: &Router, id: &str) -> bool {
+fn accepts_work(router: &Router, id: &str) -> bool {
     let back_ends = router.back_ends.borrow();
     back_ends.get(id).is_some_and(|known| !known.entry.leaving)
 }
 
-/// Time until a back end gets no work any more.
-async fn known_after(router: &Router, id: &str) -> Duration {
-    let begun = Instant::now();
-    while takes_work(router, id) && begun.elapsed() < Duration::from_secs(40) {
+/// Time until the router knows the departure of a back end, so that it sends no work there; at most
+/// 40 s.
+async fn time_until_known(router: &Router, id: &str) -> Duration {
+    let started = Instant::now();
+    while accepts_work(router, id) && started.elapsed() < Duration::from_secs(40) {
         after(10).await;
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
-/// All reads under way are dead, here and at all peers, and the store answers whoever asks anew.
+/// All reads in flight are never answered, at the router and at all peers; the store answers new
+/// calls.
 #[tokio::test(start_paused = true)]
 async fn a_departure_is_known_in_time_although_the_waiting_reads_are_never_answered() {
-    for pause in (0..6000).step_by(250) {
-        for by_row in [false, true] {
+    for pause_ms in (0..6000).step_by(250) {
+        for entry_removed in [false, true] {
             let script = |directory: Rc<ScriptedDirectory>, router: Rc<Router>| async move {
                 after(5000).await;
                 directory.set("c", false);
                 after(2500).await;
-                directory.silence_calls_under_way();
-                after(pause).await;
-                match by_row {
+                directory.silence_calls_in_flight();
+                after(pause_ms).await;
+                match entry_removed {
                     true => directory.set("a", false),
                     false => directory.set_leaving("a"),
                 }
-                let known = known_after(&router, "a").await;
+                let delay = time_until_known(&router, "a").await;
                 let bound = router.bounds().drain_timeout;
                 assert!(
-                    known < bound,
-                    "pause {pause} ms, by row {by_row}: {known:?}"
+                    delay < bound,
+                    "pause {pause_ms} ms, entry removed {entry_removed}: {delay:?}"
                 );
-                assert!(takes_work(&router, "b"));
+                assert!(accepts_work(&router, "b"));
             };
             follow(script).await;
         }
     }
 }
 
-/// A directory that refuses one router while it is away from it.
-struct Away(Rc<ScriptedDirectory>, Rc<Cell<bool>>);
+/// A directory that refuses the calls of one router while the flag is set.
+struct RefusingDirectory(Rc<ScriptedDirectory>, Rc<Cell<bool>>);
 
-impl Directory for Away {
+impl Directory for RefusingDirectory {
     fn back_ends(
         &self,
         after: Option<u64>,
@@ -126,10 +132,10 @@
         if self.1.get() {
             return Box::pin(async { Err(SourceError::Refused(503)) });
         }
-        let away = self.1.clone();
+        let refuses = self.1.clone();
         Box::pin(async move {
             let answer = self.0.back_ends(after, wait, transfer).await;
-            if away.get() {
+            if refuses.get() {
                 return Err(SourceError::Broken);
             }
             answer
@@ -137,22 +143,22 @@
     }
 }
 
-/// A router that the store may turn away, beside a peer that it answers.
-struct Pair {
+/// A router whose calls the store may refuse, and a peer that the store answers.
+struct RouterAndPeer {
     directory: Rc<ScriptedDirectory>,
-    away: Rc<Cell<bool>>,
+    refuses_router: Rc<Cell<bool>>,
     router: Rc<Router>,
     peer: Rc<Router>,
 }
 
-/// Runs a script beside a router that the store may turn away, and that asks peers.
+/// Runs a script while a router follows a store that may refuse its calls, and asks a peer.
 async fn follow_beside_peer<F: Future<Output = ()>, S: PeerSource + 'static>(
     source: impl FnOnce(Rc<Router>) -> S,
-    script: impl FnOnce(Rc<Pair>) -> F,
+    script: impl FnOnce(Rc<RouterAndPeer>) -> F,
 ) {
-    let pair = Rc::new(Pair {
+    let pair = Rc::new(RouterAndPeer {
         directory: Rc::new(ScriptedDirectory::default()),
-        away: Rc::default(),
+        refuses_router: Rc::default(),
         router: router(),
         peer: router(),
     });
@@ -162,7 +168,10 @@
     let store = || Rc::new(StoreMonitor::new("store").expect("chart"));
     let (own_store, peer_store) = (store(), store());
     let source = Rc::new(source(pair.peer.clone()));
-    let directory = Rc::new(Away(pair.directory.clone(), pair.away.clone()));
+    let directory = Rc::new(RefusingDirectory(
+        pair.directory.clone(),
+        pair.refuses_router.clone(),
+    ));
     tokio::select! {
         () = follow_directory(pair.router.clone(), directory, own_store.clone()) => {}
         () = follow_directory(pair.peer.clone(), pair.directory.clone(), peer_store) => {}
@@ -171,183 +180,190 @@
     }
 }
 
-impl Pair {
-    /// Peers tell for ever what the one that the store answers has decided.
-    async fn told_by(&self, peers: &[SocketAddr], settled: bool) {
+impl RouterAndPeer {
+    /// The router receives, forever, gossip from these addresses with the directory revision of the
+    /// peer that the store answers.
+    async fn gossip_from(&self, peers: &[SocketAddr], steady: bool) {
         loop {
             for from in peers {
-                let mut news = steady_peer(*from, 0, self.peer.directory_revision());
-                news.directory_steady = settled;
+                let mut gossip = steady_peer_gossip(*from, 0, self.peer.directory_revision());
+                gossip.directory_steady = steady;
                 let now = self.router.now();
-                self.router.peers.borrow_mut().receive(&news, now);
+                self.router.peers.borrow_mut().receive(&gossip, now);
             }
             after(50).await;
         }
     }
 
-    /// Time until back end `a` gets no work any more, beside what peers tell.
-    async fn known_after(&self, peers: &[SocketAddr], settled: bool) -> Duration {
+    /// Time until the router knows the departure of back end `a`, while it receives gossip from
+    /// these addresses.
+    async fn time_until_known(&self, peers: &[SocketAddr], steady: bool) -> Duration {
         tokio::select! {
-            known = known_after(&self.router, "a") => known,
-            () = self.told_by(peers, settled) => unreachable!("goes on"),
+            delay = time_until_known(&self.router, "a") => delay,
+            () = self.gossip_from(peers, steady) => unreachable!("endless"),
         }
     }
 }
 
-/// The peer that answers.
+/// Address of the peer that answers queries.
 const ANSWERING: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, 2)), 9);
 
-/// The store was away for this router, so that it holds a departure back; a peer has decided it,
-/// and does not tell that the store answers it steadily. The router had heard of the departure, and
-/// never asked the peer for it.
+/// The store refused the calls of this router for a while, so that a removal is still pending here.
+/// A peer has decided the removal, but does not gossip that the store answers it steadily. The
+/// router had received the removal from the store itself, and never asked the peer about it.
 #[tokio::test(start_paused = true)]
 async fn a_pending_removal_is_fetched_from_a_peer_that_has_decided_it() {
     follow_beside_peer(ServingPeer, |pair| async move {
         after(3000).await;
-        pair.away.set(true);
+        pair.refuses_router.set(true);
         after(1500).await;
         pair.directory.set("a", false);
         after(600).await;
-        pair.away.set(false);
-        let known = pair.known_after(&[ANSWERING], false).await;
-        assert!(known < Duration::from_millis(1500), "{known:?}");
-        assert!(takes_work(&pair.router, "b"));
+        pair.refuses_router.set(false);
+        let delay = pair.time_until_known(&[ANSWERING], false).await;
+        assert!(delay < Duration::from_millis(1500), "{delay:?}");
+        assert!(accepts_work(&pair.router, "b"));
     })
     .await;
 }
 
-/// One peer whose connections say nothing, and one that answers.
+/// Two peers: one never answers, the other one answers with what this router knows.
 struct OneSilentPeer(Rc<Router>);
 
-/// The peer that says nothing.
+/// Address of the peer that never answers.
 const SILENT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1)), 9);
 
 impl PeerSource for OneSilentPeer {
     fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         _: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if peer == SILENT {
             return Box::pin(std::future::pending());
         }
-        told_by(&self.0, known)
+        update_from(&self.0, query)
     }
 }
 
-/// The store turns this router away, and the connection to the peer that is asked first says
-/// nothing: the departure is taken from another one in time.
+/// The store refuses the calls of this router, and the peer that is asked first never answers: the
+/// departure is fetched from the other peer in time.
 #[tokio::test(start_paused = true)]
 async fn a_departure_is_known_in_time_although_a_peer_never_answers() {
     follow_beside_peer(OneSilentPeer, |pair| async move {
         after(3000).await;
-        pair.away.set(true);
+        pair.refuses_router.set(true);
         after(3000).await;
         pair.directory.set_leaving("a");
-        let known = pair.known_after(&[SILENT, ANSWERING], true).await;
-        assert!(known < pair.router.bounds().drain_timeout, "{known:?}");
+        let delay = pair.time_until_known(&[SILENT, ANSWERING], true).await;
+        assert!(delay < pair.router.bounds().drain_timeout, "{delay:?}");
     })
     .await;
 }
 
-/// Time after the end of an outage from which a router is bound by departures again.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time after the end of an outage from which a router must act on departures again.
+const CATCH_UP_TIME: Duration = Duration::from_secs(3);
 
-/// Time after the beginning of an outage for which peers still tell that the store answers them: a
-/// round of news of a small fleet, and of a larger one.
-const TOLD_STILL: [Duration; 2] = [Duration::from_millis(700), Duration::from_millis(2500)];
+/// Times after the start of an outage for which peers still gossip that the store answers them: a
+/// round of gossip in a small fleet, and in a larger one.
+const GOSSIP_DELAYS: [Duration; 2] = [Duration::from_millis(700), Duration::from_millis(2500)];
 
-/// Outages played of each kind: each length several times.
-const LENGTHS: usize = 123;
+/// Number of simulated outages for each combination of the other parameters; each length occurs
+/// several times.
+const OUTAGES: usize = 123;
 
-/// How the store is away.
+/// How the store behaves during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outage {
+    /// All calls fail.
     Refuses,
-    SaysNothing,
+    /// No call is answered.
+    Silent,
 }
 
-async fn outage(directory: &ScriptedDirectory, kind: Outage, millis: u64) {
+async fn simulate_outage(directory: &ScriptedDirectory, kind: Outage, outage_ms: u64) {
     match kind {
         Outage::Refuses => {
             directory.set_down(true);
-            after(millis).await;
+            after(outage_ms).await;
             directory.set_down(false);
         }
-        Outage::SaysNothing => {
-            let end = Instant::now() + Duration::from_millis(millis);
+        Outage::Silent => {
+            let end = Instant::now() + Duration::from_millis(outage_ms);
             while Instant::now() < end {
-                directory.silence_calls_under_way();
+                directory.silence_calls_in_flight();
                 after(2).await;
             }
         }
     }
 }
 
-/// A back end vanishes, the store confirms it and is away at once, so that routers hear of it
-/// after its return: whoever only could not renew its entry may come back for 2.2 s from then on. A router
-/// that noticed the return late held the departure for as much longer than it may.
+/// The entry of a back end disappears right before an outage of the store, so that routers learn of
+/// it after the outage. They keep the removal pending for 2.2 s, in which live back ends renew
+/// their entries. A router that noticed the end of the outage late kept it pending for that much
+/// too long.
 #[tokio::test(start_paused = true)]
 async fn a_removal_right_before_an_outage_takes_effect_in_time_after_it() {
-    let mut latest = Duration::ZERO;
-    // Pauses are drawn; the finer steps are where they mattered.
-    let lengths = (100..2000).step_by(50).chain([2500, 4000, 7000]);
-    for kind in [Outage::Refuses, Outage::SaysNothing] {
-        for told_still in TOLD_STILL {
-            for before in [20, 500, 1200, 1900] {
-                for millis in lengths.clone().cycle().take(LENGTHS) {
-                    let known = known_after_outage(kind, told_still, before, millis).await;
+    let mut max_delay = Duration::ZERO;
+    // The router's pauses are random; the lengths have small steps where the pauses matter most.
+    let outage_lengths = (100..2000).step_by(50).chain([2500, 4000, 7000]);
+    for kind in [Outage::Refuses, Outage::Silent] {
+        for gossip_delay in GOSSIP_DELAYS {
+            for lead_ms in [20, 500, 1200, 1900] {
+                for outage_ms in outage_lengths.clone().cycle().take(OUTAGES) {
+                    let delay = delay_after_outage(kind, gossip_delay, lead_ms, outage_ms).await;
                     assert!(
-                        known < CONTACT,
-                        "{kind:?} {told_still:?} {before} ms before, {millis} ms: {known:?}"
+                        delay < CATCH_UP_TIME,
+                        "{kind:?} {gossip_delay:?} {lead_ms} ms before, {outage_ms} ms: {delay:?}"
                     );
-                    latest = latest.max(known);
+                    max_delay = max_delay.max(delay);
                 }
             }
         }
     }
-    println!("latest {latest:?} after the return");
+    println!("at most {max_delay:?} after the outage");
 }
 
-/// Time from the store's return until a departure is believed that came so long before the outage.
-async fn known_after_outage(
+/// Time from the end of an outage until a removal takes effect that occurred `lead_ms` before the
+/// start of the outage.
+async fn delay_after_outage(
     kind: Outage,
-    told_still: Duration,
-    before: u64,
-    millis: u64,
+    gossip_delay: Duration,
+    lead_ms: u64,
+    outage_ms: u64,
 ) -> Duration {
     let directory = Rc::new(ScriptedDirectory::default());
     for id in ["a", "b", "c"] {
         directory.set(id, true);
     }
     let router = router();
-    // Only who has a configuration leaves the store to its peers.
+    // Only a router with a configuration makes longer pauses between failed calls while its peers
+    // gossip that the directory answers them.
     router.apply_configuration(Arc::new(TrafficConfiguration {
         version: 1,
         ..TrafficConfiguration::default()
     }));
     let store = Rc::new(StoreMonitor::new("store").expect("chart"));
-    let away_at = Instant::now() + Duration::from_millis(6000 + before);
-    // The store stops answering the peers together with the router, and they notice its return no
-    // sooner than it does.
-    let settled = || Instant::now() < away_at + told_still;
+    let outage_start = Instant::now() + Duration::from_millis(6000 + lead_ms);
+    // The outage also affects the peers, and they notice its end no sooner than the router.
+    let steady = || Instant::now() < outage_start + gossip_delay;
     let script = async {
         after(5500).await;
-        // Other news, after which routers gather.
+        // Another update, after which routers wait to collect further ones.
         directory.set("c", false);
         after(500).await;
         directory.set("a", false);
-        after(before).await;
-        outage(&directory, kind, millis).await;
-        let back = Instant::now();
-        known_after(&router, "a").await;
-        assert!(takes_work(&router, "b"));
-        back.elapsed()
+        after(lead_ms).await;
+        simulate_outage(&directory, kind, outage_ms).await;
+        let outage_end = Instant::now();
+        time_until_known(&router, "a").await;
+        assert!(accepts_work(&router, "b"));
+        outage_end.elapsed()
     };
     tokio::select! {
-        known = script => known,
-        () = beside_peers(router.clone(), settled) => unreachable!("goes on"),
-        () = follow_directory(router.clone(), directory.clone(), store) => unreachable!("goes on"),
+        delay = script => delay,
+        () = gossip_from_peers(router.clone(), steady) => unreachable!("endless"),
+        () = follow_directory(router.clone(), directory.clone(), store) => unreachable!("endless"),
     }
 }
--- a/crates/stacktack-direct/tests/followers/main.rs
+++ b/crates/stacktack-direct/tests/followers/main.rs
@@ -1,5 +1,4 @@
-//! What a router believes of the directory while its store comes and goes, on
-//! virtual time.
+//! How a router follows the directory while its store is lost and returns, on virtual time.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,10 +21,9 @@
 
 use common::{after, router};
 use scripted_directory::ScriptedDirectory;
-use steady_peer::steady_peer;
+use steady_peer::steady_peer_gossip;
 
-/// Runs a script beside a router that follows a directory with back ends `a`
-/// and `b`, heard at the start.
+/// Runs a script while a router follows a directory with back ends `a` and `b`, once it knows both.
 async fn follow<F: std::future::Future<Output = ()>>(
     script: impl FnOnce(Rc<ScriptedDirectory>, Rc<Router>) -> F,
 ) {
@@ -37,7 +35,7 @@
     let following = follow_directory(router.clone(), directory.clone(), store);
     let script = async {
         after(1000).await;
-        assert!(knows(&router, "a") && knows(&router, "b"));
+        assert!(knows_back_end(&router, "a") && knows_back_end(&router, "b"));
         script(directory, router.clone()).await;
     };
     tokio::select! {
@@ -46,18 +44,18 @@
     }
 }
 
-/// What peers tell of an answer that the directory gives now.
+/// Source reads that a peer gossips if the directory answers it now.
 fn reads(directory: &ScriptedDirectory) -> SourceReads {
     SourceReads {
         directory: SourceRead {
             revision: 0,
-            answered_at_ms: directory.clock(),
+            answered_at_ms: directory.clock_ms(),
         },
         configuration: SourceRead::default(),
     }
 }
 
-fn knows(router: &Router, id: &str) -> bool {
+fn knows_back_end(router: &Router, id: &str) -> bool {
     router.back_ends.borrow().get(id).is_some()
 }
 
@@ -70,8 +68,8 @@
         after(3900).await;
         directory.set("a", false);
         after(700).await;
-        assert!(!knows(&router, "a"));
-        assert!(knows(&router, "b"));
+        assert!(!knows_back_end(&router, "a"));
+        assert!(knows_back_end(&router, "b"));
     })
     .await;
 }
@@ -85,17 +83,17 @@
         directory.set("b", false);
         directory.set_down(false);
         after(1800).await;
-        assert!(knows(&router, "a") && knows(&router, "b"));
+        assert!(knows_back_end(&router, "a") && knows_back_end(&router, "b"));
         directory.set("b", true);
         after(1700).await;
-        assert!(!knows(&router, "a"));
-        assert!(knows(&router, "b"));
+        assert!(!knows_back_end(&router, "a"));
+        assert!(knows_back_end(&router, "b"));
     })
     .await;
 }
 
-/// Nobody else tells a lone router that nothing changed: it asks before what it knows is older
-/// than 0.6 of the time in which a departure has to be known (3 s), and hardly more often.
+/// No peer tells a lone router that nothing changed. It polls before its knowledge is older than
+/// 0.6 of the time in which a departure has to be known (3 s), and hardly more often.
 #[tokio::test(start_paused = true)]
 async fn a_lone_router_polls_an_unchanged_directory_as_often_as_the_bound_requires() {
     follow(|directory, router| async move {
@@ -117,13 +115,13 @@
             let now = router.now();
             for number in 0..3 {
                 let from = SocketAddr::from(([127, 0, 1, number], 9));
-                let news = steady_peer(from, 0, router.directory_revision());
-                router.peers.borrow_mut().receive(&news, now);
+                let gossip = steady_peer_gossip(from, 0, router.directory_revision());
+                router.peers.borrow_mut().receive(&gossip, now);
                 let ages = SourceAges {
                     directory: EncodedAge::new(Duration::from_millis(600)),
                     configuration: None,
                 };
-                router.apply_source_ages(&news, &ages, &reads(&directory));
+                router.apply_source_ages(&gossip, &ages, &reads(&directory));
             }
             after(100).await;
         }
@@ -132,81 +130,82 @@
     .await;
 }
 
-/// Lets time pass beside steady peers that know nothing new.
-async fn beside_peers(router: &Router, count: u8, milliseconds: u64) {
+/// Lets time pass while steady peers send gossip without a directory revision.
+async fn gossip_from_peers(router: &Router, count: u8, milliseconds: u64) {
     for _ in 0..milliseconds / 100 {
         let now = router.now();
         for number in 0..count {
             let from = SocketAddr::from(([127, 0, 1, number], 9));
-            let news = steady_peer(from, 0, 0);
-            router.peers.borrow_mut().receive(&news, now);
+            let gossip = steady_peer_gossip(from, 0, 0);
+            router.peers.borrow_mut().receive(&gossip, now);
         }
         after(100).await;
     }
 }
 
-/// While back ends are replaced one after the other, each of 103 routers read the
-/// directory twice a second: calls to the store were the dearest line of a calm day. Beside a peer that
-/// watches it none is needed, but for the end of the time in which this router watched too.
+/// While back ends are replaced one after the other, each of 103 routers read the directory twice a
+/// second, and calls to the store were the largest cost under normal load. While a peer watches the
+/// directory, a router needs no calls, except until it stops watching the directory itself.
 #[tokio::test(start_paused = true)]
 async fn in_a_large_fleet_each_router_rarely_reads_a_directory_that_changes_often() {
     follow(|directory, router| async move {
         let from = SocketAddr::from(([127, 0, 1, 1], 9));
-        let tell = |revision: u64| {
-            let news = steady_peer(from, 0, revision);
-            router.peers.borrow_mut().receive(&news, router.now());
+        let receive_gossip = |revision: u64| {
+            let gossip = steady_peer_gossip(from, 0, revision);
+            router.peers.borrow_mut().receive(&gossip, router.now());
             let ages = SourceAges {
                 directory: EncodedAge::new(Duration::from_millis(40)),
                 configuration: None,
             };
-            router.apply_source_ages(&news, &ages, &reads(&directory));
+            router.apply_source_ages(&gossip, &ages, &reads(&directory));
         };
-        let before = directory.calls.get();
+        let calls_before = directory.calls.get();
         for round in 0..100 {
             directory.set("c", round % 2 == 0);
             for _ in 0..2 {
-                beside_peers(&router, 30, 100).await;
-                // The peer tells what it knows, of which this router takes the whole from it.
-                let newest = directory.newest();
+                gossip_from_peers(&router, 30, 100).await;
+                // The router fetches a snapshot from the peer, whose gossip then announces its
+                // revision.
+                let newest = directory.snapshot();
                 apply_delta(
                     &router,
                     newest.delta,
                     newest.revision,
                     RemovalEvidence::PeerDecided,
                 );
-                tell(router.directory_revision());
+                receive_gossip(router.directory_revision());
             }
         }
-        let calls = directory.calls.get() - before;
+        let calls = directory.calls.get() - calls_before;
         assert!(calls <= 16, "{calls} calls in 20 s");
     })
     .await;
 }
 
-/// Nobody depends on peers for a bound: one that hears of nothing else knows a departure
-/// after half of the time in which a leaving back end must get no new work.
+/// No router depends on its peers to keep a bound: without updates from them it knows a departure
+/// after half of the time after which a leaving back end must get no new work.
 #[tokio::test(start_paused = true)]
 async fn in_a_large_fleet_a_departure_is_known_in_time_without_the_peers() {
     follow(|directory, router| async move {
-        beside_peers(&router, 30, 4000).await;
+        gossip_from_peers(&router, 30, 4000).await;
         directory.set("c", true);
-        beside_peers(&router, 30, 100).await;
+        gossip_from_peers(&router, 30, 100).await;
         directory.set("a", false);
-        beside_peers(&router, 30, 1700).await;
-        assert!(!knows(&router, "a"));
-        assert!(knows(&router, "b"));
+        gossip_from_peers(&router, 30, 1700).await;
+        assert!(!knows_back_end(&router, "a"));
+        assert!(knows_back_end(&router, "b"));
     })
     .await;
 }
 
-/// A router that hears no steady peer reads as often as a lone one.
+/// A router without a steady peer reads the directory often enough to know each change soon.
 #[tokio::test(start_paused = true)]
 async fn a_lone_router_soon_knows_each_change_of_the_directory() {
     follow(|directory, router| async move {
         for round in 0..20 {
             directory.set("c", round % 2 == 0);
             after(600).await;
-            assert_eq!(knows(&router, "c"), round % 2 == 0);
+            assert_eq!(knows_back_end(&router, "c"), round % 2 == 0);
         }
     })
     .await;
--- a/crates/stacktack-direct/tests/followers/scripted_directory.rs
+++ b/crates/stacktack-direct/tests/followers/scripted_directory.rs
@@ -1,4 +1,4 @@
-//! A directory of a script, on virtual time.
+//! A directory controlled by a test script, on virtual time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,23 +13,23 @@
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
-/// A directory that can be down; a call that waits is cut when it goes down.
+/// A directory that can be down; a waiting call fails when it goes down.
 #[derive(Default)]
 pub struct ScriptedDirectory {
     down: Cell<bool>,
     revision: Cell<u64>,
-    /// Rows by id: the revision of the last change, and what it says.
+    /// Rows by back end id, each with the revision of its last change.
     rows: RefCell<BTreeMap<String, (u64, Row)>>,
     changed: Notify,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: Cell<u32>,
-    /// Calls up to this one are never answered.
-    silenced: Cell<u32>,
-    /// When its clock was first read.
-    begun: Cell<Option<Instant>>,
+    /// Calls up to this number are never answered.
+    last_silenced: Cell<u32>,
+    /// When the clock of the directory was first read.
+    started: Cell<Option<Instant>>,
 }
 
-/// What a row says.
+/// State of a back end in its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Row {
     Ready,
@@ -38,12 +38,12 @@
 }
 
 impl ScriptedDirectory {
-    /// Lists a back end, or drops it.
+    /// Adds or renews the row of a back end, or removes it.
     pub fn set(&self, id: &str, present: bool) {
         self.write(id, if present { Row::Ready } else { Row::Gone });
     }
 
-    /// A back end says that it leaves.
+    /// Marks a back end as leaving.
     pub fn set_leaving(&self, id: &str) {
         self.write(id, Row::Leaving);
     }
@@ -55,9 +55,10 @@
         self.changed.notify_waiters();
     }
 
-    /// Calls that are under way are never answered: their connections say nothing any more.
-    pub fn silence_calls_under_way(&self) {
-        self.silenced.set(self.calls.get());
+    /// Leaves all calls in flight without an answer, as on connections that are dead without a
+    /// reset.
+    pub fn silence_calls_in_flight(&self) {
+        self.last_silenced.set(self.calls.get());
     }
 
     pub fn set_down(&self, down: bool) {
@@ -65,26 +66,27 @@
         self.changed.notify_waiters();
     }
 
-    /// Its clock, in milliseconds.
-    pub fn clock(&self) -> u64 {
-        let begun = self.begun.get().unwrap_or_else(Instant::now);
-        self.begun.set(Some(begun));
-        begun.elapsed().as_millis() as u64 + 1
+    /// Time on the clock of the directory in milliseconds.
+    pub fn clock_ms(&self) -> u64 {
+        let started = self.started.get().unwrap_or_else(Instant::now);
+        self.started.set(Some(started));
+        started.elapsed().as_millis() as u64 + 1
     }
 
-    /// All that it holds.
-    pub fn newest(&self) -> DirectoryUpdate {
-        self.news(None)
+    /// Returns the complete state.
+    pub fn snapshot(&self) -> DirectoryUpdate {
+        self.update(None)
     }
 
-    fn news(&self, after: Option<u64>) -> DirectoryUpdate {
+    /// Returns the changes after a revision, or a snapshot without a revision.
+    fn update(&self, after: Option<u64>) -> DirectoryUpdate {
         let delta = DirectoryDelta {
             whole: after.is_none(),
             ..DirectoryDelta::default()
         };
-        let mut news = DirectoryUpdate {
+        let mut update = DirectoryUpdate {
             revision: self.revision.get(),
-            answered_at_ms: self.clock(),
+            answered_at_ms: self.clock_ms(),
             delta,
             invalid_rows: Vec::new(),
         };
@@ -92,30 +94,30 @@
             if *revision <= after.unwrap_or(0) {
                 continue;
             }
-            news.delta.revision = news.delta.revision.max(*revision);
+            update.delta.revision = update.delta.revision.max(*revision);
             if *row != Row::Gone {
                 let mut entry = entry(id, *revision);
                 entry.leaving = *row == Row::Leaving;
-                news.delta.present.push(entry);
+                update.delta.present.push(entry);
             } else if after.is_some() {
-                news.delta.gone.push(RemovedEntry {
+                update.delta.gone.push(RemovedEntry {
                     id: id.clone(),
                     revision: *revision,
                 });
             }
         }
-        news
+        update
     }
 
-    async fn changed_news(&self, after: Option<u64>) -> Result<DirectoryUpdate, SourceError> {
+    async fn wait_for_update(&self, after: Option<u64>) -> Result<DirectoryUpdate, SourceError> {
         loop {
             let changed = self.changed.notified();
             if self.down.get() {
                 return Err(SourceError::Broken);
             }
-            let news = self.news(after);
-            if news.delta.revision > 0 || after.is_none() {
-                return Ok(news);
+            let update = self.update(after);
+            if update.delta.revision > 0 || after.is_none() {
+                return Ok(update);
             }
             changed.await;
         }
@@ -132,11 +134,11 @@
         self.calls.set(self.calls.get() + 1);
         let call = self.calls.get();
         Box::pin(async move {
-            let answer = timeout(wait, self.changed_news(after)).await;
-            if call <= self.silenced.get() {
+            let answer = timeout(wait, self.wait_for_update(after)).await;
+            if call <= self.last_silenced.get() {
                 return std::future::pending().await;
             }
-            answer.unwrap_or_else(|_| Ok(self.news(after)))
+            answer.unwrap_or_else(|_| Ok(self.update(after)))
         })
     }
 }
--- a/crates/stacktack-direct/tests/followers/serving_peer.rs
+++ b/crates/stacktack-direct/tests/followers/serving_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that hands over what a router knows.
+//! A peer that answers queries of other routers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,25 +8,25 @@
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
 
-/// What a router knows, for whoever asks it.
+/// Answers each query with what this router knows.
 pub struct ServingPeer(pub Rc<Router>);
 
 impl PeerSource for ServingPeer {
     fn fetch_update(
         &self,
         _: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         _: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
-        told_by(&self.0, known)
+        update_from(&self.0, query)
     }
 }
 
-/// What a router hands over to one that knows so much.
-pub fn told_by(
+/// Response of a router to a query.
+pub fn update_from(
     router: &Router,
-    known: PeerQuery,
+    query: PeerQuery,
 ) -> LocalBoxFuture<'static, Result<PeerUpdate, SourceError>> {
-    let (_, body) = respond_to_peer(router, &known.path_and_query());
+    let (_, body) = respond_to_peer(router, &query.path_and_query());
     Box::pin(async move { PeerUpdate::decode(&body) })
 }
--- a/crates/stacktack-direct/tests/followers/simultaneous_starts.rs
+++ b/crates/stacktack-direct/tests/followers/simultaneous_starts.rs
@@ -1,7 +1,8 @@
-//! Many routers that start beside one that hands over, on virtual time.
+//! Many routers that start at once while one router already knows the directory, on virtual time.
 //!
-//! The story. Of twenty routers that started at once those that found no room at the first peer waited 100 ms
-//! before they asked another one, which knew as much all along, and refused all that came meanwhile.
+//! These tests guard against the following failure. Of twenty routers that started at once, those
+//! that the first peer refused because its transfers were at their limit waited 100 ms before they
+//! asked another peer, although it had the directory as well, and refused all requests meanwhile.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -21,27 +22,27 @@
 use crate::common::{after, router, router_with_seeds};
 use crate::scripted_directory::ScriptedDirectory;
 use crate::starts::store;
-use crate::steady_peer::steady_peer;
+use crate::steady_peer::steady_peer_gossip;
 
-/// Time in which a whole directory gets there.
-const COPY: Duration = Duration::from_millis(20);
+/// Time that the transfer of a snapshot of the directory takes.
+const TRANSFER_TIME: Duration = Duration::from_millis(20);
 
-/// Routers that start at once.
+/// Number of routers that start at once.
 const STARTING: usize = 19;
 
-/// The address of a router by its number.
+/// Address of a router by its number.
 fn address(number: usize) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8 + 1)), 9)
 }
 
-/// Routers that hand over what they know, each over a link of its own.
-struct HandingOver(Vec<Rc<Router>>);
+/// Routers that answer queries of their peers, each over a link of its own.
+struct ServingPeers(Vec<Rc<Router>>);
 
-impl PeerSource for HandingOver {
+impl PeerSource for ServingPeers {
     fn fetch_update(
         &self,
         peer: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         _: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         let numbers = 0..self.0.len();
@@ -49,31 +50,31 @@
         let peer = self.0[number.expect("is a router")].clone();
         Box::pin(async move {
             let caller = IpAddr::V4(Ipv4Addr::LOCALHOST);
-            let (status, body, under_way) = serve_peer(&peer, caller, &known.path_and_query());
+            let (status, body, transfer_guard) = serve_peer(&peer, caller, &query.path_and_query());
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 return Err(SourceError::NoCapacity);
             }
-            sleep(COPY).await;
-            drop(under_way);
+            sleep(TRANSFER_TIME).await;
+            drop(transfer_guard);
             PeerUpdate::decode(&body)
         })
     }
 }
 
-/// Each router tells all others for ever what it knows.
-async fn tell(routers: &[Rc<Router>]) {
+/// Each router gossips its directory revision to all others, forever.
+async fn send_gossip(routers: &[Rc<Router>]) {
     loop {
         for (number, from) in routers.iter().enumerate() {
-            let news = steady_peer(address(number), 0, from.directory_revision());
+            let gossip = steady_peer_gossip(address(number), 0, from.directory_revision());
             for (_, to) in routers.iter().enumerate().filter(|(to, _)| *to != number) {
-                merge_gossip(to, &news);
+                merge_gossip(to, &gossip);
             }
         }
         after(10).await;
     }
 }
 
-/// How long it takes until all know a directory of so many back ends that one of them read.
+/// Time until all routers know a directory with this number of back ends, which one of them read.
 async fn time_until_all_know(back_ends: usize) -> Duration {
     let directory = Rc::new(ScriptedDirectory::default());
     for number in 0..back_ends {
@@ -86,22 +87,22 @@
     }
     let starting = (0..STARTING).map(|_| router_with_seeds(&[address(0)]));
     let routers: Vec<Rc<Router>> = std::iter::once(first).chain(starting).collect();
-    let source = Rc::new(HandingOver(routers.clone()));
+    let source = Rc::new(ServingPeers(routers.clone()));
     let follow =
         |router: &Rc<Router>| fetch_from_peers(router.clone(), source.clone()).boxed_local();
     let followers = select_all(routers[1..].iter().map(follow));
-    let begun = Instant::now();
-    let know = async {
-        while !routers.iter().all(|one| one.directory_revision() > 0) {
+    let started = Instant::now();
+    let all_know = async {
+        while !routers.iter().all(|router| router.directory_revision() > 0) {
             after(1).await;
         }
     };
     tokio::select! {
         _ = followers => {}
-        () = tell(&routers) => {}
-        () = know => {}
+        () = send_gossip(&routers) => {}
+        () = all_know => {}
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/stacktack-direct/tests/followers/starts.rs
+++ b/crates/stacktack-direct/tests/followers/starts.rs
@@ -1,8 +1,9 @@
-//! What a start costs the store, on virtual time.
+//! How many calls to the store the start of a router takes, on virtual time.
 //!
-//! The story. 357 routers that started within a second read the whole configuration (109 kB) and the whole
-//! directory (642 entries) from the store, each for itself, and went on to wait there for every change: 10,864 to
-//! 16,574 calls on a day of half a minute, where one router could have told the others.
+//! These tests guard against the following failure. Each of 357 routers that started within a
+//! second read the whole configuration (109 kB) and the whole directory (642 entries) from the
+//! store, and then waited there for every change: 10,864 to 16,574 calls in half a minute, although
+//! one router could have passed the data on to the others.
 
 use std::cell::Cell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,19 +18,19 @@
 
 use crate::common::{after, router, router_with_seeds};
 use crate::scripted_directory::ScriptedDirectory;
-use crate::serving_peer::{told_by, ServingPeer};
-use crate::steady_peer::steady_peer;
+use crate::serving_peer::{update_from, ServingPeer};
+use crate::steady_peer::steady_peer_gossip;
 
-/// A router that everybody knows from the settings.
+/// Address of a router that all others have as a seed in their settings.
 const SEED: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 0, 1, 1)), 9);
 
 /// A directory that counts the calls of one router.
-struct Counted {
+struct CountingDirectory {
     directory: Rc<ScriptedDirectory>,
     calls: Cell<u32>,
 }
 
-impl Directory for Counted {
+impl Directory for CountingDirectory {
     fn back_ends(
         &self,
         after: Option<u64>,
@@ -41,12 +42,12 @@
     }
 }
 
-/// A router tells another one for ever what it knows.
-async fn tell(from: Rc<Router>, to: Rc<Router>) {
+/// One router gossips to another one, forever.
+async fn send_gossip(from: Rc<Router>, to: Rc<Router>) {
     loop {
-        let news = steady_peer(SEED, 0, from.directory_revision());
-        to.peers.borrow_mut().receive(&news, to.now());
-        to.apply_source_ages(&news, &from.source_ages(), &from.source_reads());
+        let gossip = steady_peer_gossip(SEED, 0, from.directory_revision());
+        to.peers.borrow_mut().receive(&gossip, to.now());
+        to.apply_source_ages(&gossip, &from.source_ages(), &from.source_reads());
         after(100).await;
     }
 }
@@ -55,11 +56,12 @@
     Rc::new(StoreMonitor::new("store").expect("chart"))
 }
 
-fn knows(router: &Router, id: &str) -> bool {
+fn knows_back_end(router: &Router, id: &str) -> bool {
     router.back_ends.borrow().get(id).is_some()
 }
 
-/// A router starts beside one that serves, and follows it for half a minute in which back ends come and go.
+/// A router that starts follows one that serves, for half a minute in which a back end comes and
+/// goes.
 #[tokio::test(start_paused = true)]
 async fn a_router_that_joins_a_running_fleet_makes_no_calls_to_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
@@ -67,7 +69,7 @@
         directory.set(id, true);
     }
     let (serving, starting) = (router(), router_with_seeds(&[SEED]));
-    let counted = Rc::new(Counted {
+    let counting = Rc::new(CountingDirectory {
         directory: directory.clone(),
         calls: Cell::default(),
     });
@@ -75,28 +77,33 @@
         after(2000).await;
         let start = async {
             after(700).await;
-            assert!(knows(&starting, "a") && knows(&starting, "b"));
+            assert!(knows_back_end(&starting, "a") && knows_back_end(&starting, "b"));
             for round in 0..30 {
                 directory.set("c", round % 2 == 0);
                 after(1000).await;
-                assert_eq!(knows(&starting, "c"), round % 2 == 0, "round {round}");
+                assert_eq!(
+                    knows_back_end(&starting, "c"),
+                    round % 2 == 0,
+                    "round {round}"
+                );
             }
         };
         tokio::select! {
             () = start => {}
-            () = follow_directory(starting.clone(), counted.clone(), store()) => {}
+            () = follow_directory(starting.clone(), counting.clone(), store()) => {}
             () = fetch_from_peers(starting.clone(), Rc::new(ServingPeer(serving.clone()))) => {}
-            () = tell(serving.clone(), starting.clone()) => {}
+            () = send_gossip(serving.clone(), starting.clone()) => {}
         }
     };
     tokio::select! {
         () = script => {}
         () = follow_directory(serving.clone(), directory.clone(), store()) => {}
     }
-    assert_eq!(counted.calls.get(), 0);
+    assert_eq!(counting.calls.get(), 0);
 }
 
-/// A process that stood still reads what waited meanwhile: what it says of ages was true then.
+/// After a stall a process reads gossip that arrived during the stall, so the ages in it are too
+/// low.
 #[tokio::test(start_paused = true)]
 async fn a_process_counts_as_caught_up_only_some_time_after_a_stall() {
     let router = router();
@@ -116,51 +123,52 @@
     assert!(router.is_caught_up());
 }
 
-/// A peer that answers nobody any more, and goes on to tell that it knows more.
-struct Mute(Rc<Router>, Rc<Cell<bool>>);
+/// A peer that answers no query while the flag is set, although its gossip announces a newer
+/// revision.
+struct UnresponsivePeer(Rc<Router>, Rc<Cell<bool>>);
 
-impl PeerSource for Mute {
+impl PeerSource for UnresponsivePeer {
     fn fetch_update(
         &self,
         _: SocketAddr,
-        known: PeerQuery,
+        query: PeerQuery,
         _: Rc<Transfer>,
     ) -> LocalBoxFuture<'_, Result<PeerUpdate, SourceError>> {
         if self.1.get() {
             return Box::pin(std::future::pending());
         }
-        told_by(&self.0, known)
+        update_from(&self.0, query)
     }
 }
 
-/// Whoever knows that there is news and gets it from nobody asks the store, though nothing that it
-/// knows is old.
+/// A router that knows of an update, and gets it from no peer, asks the store, although its own
+/// knowledge is not stale.
 #[tokio::test(start_paused = true)]
 async fn an_update_that_no_peer_provides_is_read_from_the_store() {
     let directory = Rc::new(ScriptedDirectory::default());
     directory.set("a", true);
     let (serving, starting) = (router(), router_with_seeds(&[SEED]));
-    let mute = Rc::new(Cell::new(false));
-    let source = Rc::new(Mute(serving.clone(), mute.clone()));
+    let unresponsive = Rc::new(Cell::new(false));
+    let source = Rc::new(UnresponsivePeer(serving.clone(), unresponsive.clone()));
     let script = async {
         after(2000).await;
-        assert!(knows(&starting, "a"));
-        mute.set(true);
+        assert!(knows_back_end(&starting, "a"));
+        unresponsive.set(true);
         directory.set("b", true);
         let bound = starting.bounds().drain_timeout;
         after(bound.as_millis() as u64 * 8 / 10).await;
-        assert!(knows(&starting, "b"));
+        assert!(knows_back_end(&starting, "b"));
     };
     tokio::select! {
         () = script => {}
         () = follow_directory(serving.clone(), directory.clone(), store()) => {}
         () = follow_directory(starting.clone(), directory.clone(), store()) => {}
         () = fetch_from_peers(starting.clone(), source) => {}
-        () = tell(serving.clone(), starting.clone()) => {}
+        () = send_gossip(serving.clone(), starting.clone()) => {}
     }
 }
 
-/// Nobody answers a router that starts: it asks the store before a caller would notice.
+/// A router that starts and hears from no peer asks the store before callers notice a delay.
 #[tokio::test(start_paused = true)]
 async fn a_router_that_starts_without_live_peers_soon_asks_the_store() {
     for _ in 0..20 {
@@ -171,11 +179,11 @@
             () = follow_directory(starting.clone(), directory.clone(), store()) => {}
             () = after(650) => {}
         }
-        assert!(knows(&starting, "a"));
+        assert!(knows_back_end(&starting, "a"));
     }
 }
 
-/// The one that everybody knows does not wait for others: they wait for it.
+/// A seed router does not wait for others when it starts, because they wait for it.
 #[tokio::test(start_paused = true)]
 async fn a_seed_router_asks_the_store_at_once() {
     let directory = Rc::new(ScriptedDirectory::default());
@@ -185,5 +193,5 @@
         () = follow_directory(starting.clone(), directory.clone(), store()) => {}
         () = after(10) => {}
     }
-    assert!(knows(&starting, "a"));
+    assert!(knows_back_end(&starting, "a"));
 }
--- a/crates/stacktack-direct/tests/rollouts.rs
+++ b/crates/stacktack-direct/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! What a router does with orders to roll out versions, on virtual time: without sockets, before
-//! a store of the test's own.
+//! How a router carries out orders to roll out versions, on virtual time, without sockets and with
+//! a simulated store.
 
 mod common;
 
@@ -29,13 +29,15 @@
 use common::{after, router};
 
 const SERVICE: &str = "engine";
-const ORDERED: u64 = 20;
+/// Revision of the order in the store.
+const ORDER_REVISION: u64 = 20;
 
-/// A store with the status of one service.
+/// A store that holds the roll-out status of one service.
 #[derive(Default)]
 struct Store {
     status: RefCell<Option<StoredStatus>>,
     down: Cell<bool>,
+    /// States of all writes, also of failed ones.
     writes: RefCell<Vec<StoredState>>,
 }
 
@@ -52,14 +54,14 @@
                 return Err(SourceError::Broken);
             }
             let mut status = self.status.borrow_mut();
-            let known = status.as_ref().map_or(0, |status| status.revision);
-            if write.status_revision != known || write.order_revision != ORDERED {
+            let stored = status.as_ref().map_or(0, |status| status.revision);
+            if write.status_revision != stored || write.order_revision != ORDER_REVISION {
                 return Ok(StatusWriteResult::Conflict {
-                    order_revision: ORDERED,
+                    order_revision: ORDER_REVISION,
                     status: status.clone(),
                 });
             }
-            let revision = known.max(ORDERED) + 1;
+            let revision = stored.max(ORDER_REVISION) + 1;
             *status = Some(StoredStatus {
                 state: write.state,
                 version: write.version,
@@ -85,8 +87,9 @@
     }
 }
 
-/// A router before back ends `old` and `new`, which serves roll-outs if there is a bound.
-fn served(bound: Option<ExposureBound>) -> Rc<Router> {
+/// Creates a router with back ends `old` (version v1) and `new` (v2), which carries out roll-outs
+/// if there is an exposure bound.
+fn router_with_two_versions(bound: Option<ExposureBound>) -> Rc<Router> {
     let router = router();
     let mut settings = router.settings.clone();
     settings.bounds.exposure = bound;
@@ -100,21 +103,21 @@
     router
 }
 
-const BOUND: Option<ExposureBound> = Some(ExposureBound {
+const EXPOSURE_BOUND: Option<ExposureBound> = Some(ExposureBound {
     share: 0.1,
     slack: 50.0,
 });
 
-fn order(router: &Router, version: &str) {
-    let order = RolloutOrder::new(SERVICE.into(), version.into(), 12.0, ORDERED);
+fn apply_order(router: &Router, version: &str) {
+    let order = RolloutOrder::new(SERVICE.into(), version.into(), 12.0, ORDER_REVISION);
     router.apply_rollout_orders(&RolloutOrderUpdate {
         orders: vec![order.expect("an order")],
         refused: Vec::new(),
     });
 }
 
-/// Back ends that a first request may go to.
-fn open(router: &Router) -> Vec<String> {
+/// Ids of the back ends to which the first attempt of a request may go.
+fn candidates(router: &Router) -> Vec<String> {
     let mut ids = router
         .candidates(&[], &[], Retryability::NotRetryable, None)
         .ids;
@@ -122,57 +125,61 @@
     ids
 }
 
-fn follow(router: &Rc<Router>, store: &Rc<Store>) {
-    let dependency = Rc::new(StoreMonitor::new("store").expect("a chart"));
+/// Starts the tasks that write the status to the store and evaluate the roll-outs.
+fn start_tasks(router: &Rc<Router>, store: &Rc<Store>) {
+    let monitor = Rc::new(StoreMonitor::new("store").expect("a chart"));
     tokio::task::spawn_local(write_rollout_statuses(
         router.clone(),
         store.clone(),
-        dependency,
+        monitor,
     ));
-    let judged = router.clone();
+    let router = router.clone();
     tokio::task::spawn_local(async move {
         loop {
-            judged.evaluate_rollouts();
+            router.evaluate_rollouts();
             after(100).await;
         }
     });
 }
 
-fn progress(router: &Router) -> Option<RolloutState> {
+fn rollout_state(router: &Router) -> Option<RolloutState> {
     let rollouts = router.rollouts.borrow();
     rollouts
         .as_ref()
         .and_then(|rollouts| rollouts.state(SERVICE))
 }
 
-/// Answers of both back ends' versions: of the new one so many in 100 are bad.
-fn answer(router: &Router, bad: u32) {
-    let wanted = stacktack_core::direct::rollout::latency::LatencyTarget {
+/// Records 100 responses of each version; `failed` of those of the new version failed.
+fn record_responses(router: &Router, failed: u32) {
+    let target = stacktack_core::direct::rollout::latency::LatencyTarget {
         objective: Duration::from_millis(120),
         needs_prefill: false,
     };
     let mut rollouts = router.rollouts.borrow_mut();
-    let rollouts = rollouts.as_mut().expect("served");
+    let rollouts = rollouts.as_mut().expect("roll-outs are enabled");
     for number in 0..100 {
-        let took = Some(Duration::from_millis(15));
-        rollouts.on_response(SERVICE, "v1", "route", took, wanted);
-        let took = took.filter(|_| number >= bad);
-        rollouts.on_response(SERVICE, "v2", "route", took, wanted);
+        let latency = Some(Duration::from_millis(15));
+        rollouts.on_response(SERVICE, "v1", "route", latency, target);
+        let latency = latency.filter(|_| number >= failed);
+        rollouts.on_response(SERVICE, "v2", "route", latency, target);
     }
 }
 
-async fn on_virtual_time(test: impl std::future::Future<Output = ()>) {
+async fn run_on_virtual_time(test: impl std::future::Future<Output = ()>) {
     tokio::time::pause();
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
 async fn without_an_order_all_versions_get_requests_and_nothing_is_stored() {
-    on_virtual_time(async {
-        let (router, store) = (served(BOUND), Rc::new(Store::default()));
-        follow(&router, &store);
+    run_on_virtual_time(async {
+        let (router, store) = (
+            router_with_two_versions(EXPOSURE_BOUND),
+            Rc::new(Store::default()),
+        );
+        start_tasks(&router, &store);
         after(30_000).await;
-        assert_eq!(open(&router), ["new", "old"]);
+        assert_eq!(candidates(&router), ["new", "old"]);
         assert!(store.writes.borrow().is_empty());
     })
     .await;
@@ -180,12 +187,12 @@
 
 #[tokio::test]
 async fn without_an_exposure_bound_an_order_changes_nothing() {
-    on_virtual_time(async {
-        let (router, store) = (served(None), Rc::new(Store::default()));
-        follow(&router, &store);
-        order(&router, "v2");
+    run_on_virtual_time(async {
+        let (router, store) = (router_with_two_versions(None), Rc::new(Store::default()));
+        start_tasks(&router, &store);
+        apply_order(&router, "v2");
         after(30_000).await;
-        assert_eq!(open(&router), ["new", "old"]);
+        assert_eq!(candidates(&router), ["new", "old"]);
         assert!(store.writes.borrow().is_empty());
     })
     .await;
@@ -193,88 +200,100 @@
 
 #[tokio::test]
 async fn a_new_version_gets_no_requests_until_the_store_holds_the_rollout_as_running() {
-    on_virtual_time(async {
-        let (router, store) = (served(BOUND), Rc::new(Store::default()));
+    run_on_virtual_time(async {
+        let (router, store) = (
+            router_with_two_versions(EXPOSURE_BOUND),
+            Rc::new(Store::default()),
+        );
         store.down.set(true);
-        follow(&router, &store);
-        order(&router, "v2");
+        start_tasks(&router, &store);
+        apply_order(&router, "v2");
         after(2_000).await;
-        assert_eq!(open(&router), ["old"]);
-        assert_eq!(progress(&router), Some(RolloutState::Unannounced));
+        assert_eq!(candidates(&router), ["old"]);
+        assert_eq!(rollout_state(&router), Some(RolloutState::Unannounced));
         store.down.set(false);
         after(1_000).await;
-        assert_eq!(progress(&router), Some(RolloutState::Canary));
+        assert_eq!(rollout_state(&router), Some(RolloutState::Canary));
     })
     .await;
 }
 
 #[tokio::test]
 async fn a_version_with_a_regression_gets_no_more_requests_even_while_the_store_is_down() {
-    on_virtual_time(async {
-        let (router, store) = (served(BOUND), Rc::new(Store::default()));
-        follow(&router, &store);
-        order(&router, "v2");
+    run_on_virtual_time(async {
+        let (router, store) = (
+            router_with_two_versions(EXPOSURE_BOUND),
+            Rc::new(Store::default()),
+        );
+        start_tasks(&router, &store);
+        apply_order(&router, "v2");
         after(200).await;
         store.down.set(true);
-        answer(&router, 40);
+        record_responses(&router, 40);
         after(100).await;
-        assert_eq!(progress(&router), Some(RolloutState::Stopped));
-        assert_eq!(open(&router), ["old"]);
-        let life =
+        assert_eq!(rollout_state(&router), Some(RolloutState::Stopped));
+        assert_eq!(candidates(&router), ["old"]);
+        let instance =
             stacktack_core::direct::back_ends::directory::InstanceId::of(&entry("new", "v2"));
-        assert!(!router.may_send("new", life));
+        assert!(!router.may_send("new", instance));
         after(60_000).await;
         store.down.set(false);
         after(2_000).await;
-        assert_eq!(progress(&router), Some(RolloutState::RolledBack));
-        assert_eq!(open(&router), ["old"]);
+        assert_eq!(rollout_state(&router), Some(RolloutState::RolledBack));
+        assert_eq!(candidates(&router), ["old"]);
     })
     .await;
 }
 
 #[tokio::test]
 async fn a_rollout_of_a_good_version_completes_and_later_all_versions_get_requests() {
-    on_virtual_time(async {
-        let (router, store) = (served(BOUND), Rc::new(Store::default()));
-        follow(&router, &store);
-        order(&router, "v2");
+    run_on_virtual_time(async {
+        let (router, store) = (
+            router_with_two_versions(EXPOSURE_BOUND),
+            Rc::new(Store::default()),
+        );
+        start_tasks(&router, &store);
+        apply_order(&router, "v2");
         after(200).await;
-        answer(&router, 0);
+        record_responses(&router, 0);
         after(11_500).await;
-        assert_eq!(progress(&router), Some(RolloutState::Completed));
-        assert_eq!(open(&router), ["new"]);
+        assert_eq!(rollout_state(&router), Some(RolloutState::Completed));
+        assert_eq!(candidates(&router), ["new"]);
         let expected = [StoredState::Running, StoredState::Completed];
         assert_eq!(*store.writes.borrow(), expected);
         after(20_000).await;
-        assert_eq!(open(&router), ["new", "old"]);
+        assert_eq!(candidates(&router), ["new", "old"]);
     })
     .await;
 }
 
 #[tokio::test]
 async fn an_order_for_a_version_that_all_or_no_back_ends_run_changes_no_traffic() {
-    on_virtual_time(async {
-        let router = served(BOUND);
-        order(&router, "v9");
-        assert_eq!(open(&router), ["new", "old"]);
-        let router = served(BOUND);
+    run_on_virtual_time(async {
+        let router = router_with_two_versions(EXPOSURE_BOUND);
+        apply_order(&router, "v9");
+        assert_eq!(candidates(&router), ["new", "old"]);
+        let router = router_with_two_versions(EXPOSURE_BOUND);
         let mut change = DirectoryChange::default();
-        let mut same = entry("old", "v2");
-        same.revision = 2;
+        let mut updated = entry("old", "v2");
+        updated.revision = 2;
         let mut back_ends = router.back_ends.borrow_mut();
-        back_ends.upsert(same, router.now(), &mut change);
+        back_ends.upsert(updated, router.now(), &mut change);
         drop(back_ends);
-        order(&router, "v2");
-        assert_eq!(open(&router), ["new", "old"]);
+        apply_order(&router, "v2");
+        assert_eq!(candidates(&router), ["new", "old"]);
     })
     .await;
 }
 
 #[tokio::test]
 async fn a_refused_order_changes_no_traffic() {
-    on_virtual_time(async {
-        let (router, store) = (served(BOUND), Rc::new(Store::default()));
-        follow(&router, &store);
+    run_on_virtual_time(async {
+        let (router, store) = (
+            router_with_two_versions(EXPOSURE_BOUND),
+            Rc::new(Store::default()),
+        );
+        start_tasks(&router, &store);
         router.apply_rollout_orders(&RolloutOrderUpdate {
             orders: Vec::new(),
             refused: vec![RefusedOrder {
@@ -284,7 +303,7 @@
             }],
         });
         after(20_000).await;
-        assert_eq!(open(&router), ["new", "old"]);
+        assert_eq!(candidates(&router), ["new", "old"]);
         assert!(store.writes.borrow().is_empty());
     })
     .await;
--- a/crates/stacktack-direct/tests/stopping.rs
+++ b/crates/stacktack-direct/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! The end of a router's process after a stop signal, on virtual time.
+//! When a router's process ends after a stop signal, on virtual time.
 
 mod common;
 
@@ -15,13 +15,14 @@
 
 use common::{after, router, router_that_refuses_with};
 
-const ANSWER_BYTES: usize = 900_000;
+/// Size of a response, more than a connection buffers.
+const RESPONSE_BYTES: usize = 900_000;
 
-/// Bytes that a connection holds that nobody reads.
+/// Bytes that a connection buffers while nobody reads it.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// A caller that sent a request to a router, and reads nothing yet.
-async fn caller(router: &Rc<Router>) -> DuplexStream {
+/// Sends a request to a router on a new connection, without reading the response.
+async fn send_request(router: &Rc<Router>) -> DuplexStream {
     let (mut caller, accepted) = tokio::io::duplex(BUFFER_BYTES);
     spawn_local(serve_connection(router.clone(), accepted));
     let request = b"GET /safe/x HTTP/1.1\r\nhost: h.example\r\n\r\n";
@@ -30,37 +31,39 @@
     caller
 }
 
-/// A caller that reads slowly lost the end of an answer that its back end had given whole.
+/// A process that ended before a slow caller had read its whole response cut the end of it,
+/// although the back end had sent it completely.
 #[tokio::test(start_paused = true)]
 async fn the_process_waits_for_responses_that_callers_have_not_read() {
     let tasks = LocalSet::new();
     let test = async {
-        let router = router_that_refuses_with(Bytes::from(vec![b'x'; ANSWER_BYTES]));
-        let mut caller = caller(&router).await;
+        let router = router_that_refuses_with(Bytes::from(vec![b'x'; RESPONSE_BYTES]));
+        let mut caller = send_request(&router).await;
         let stopping = spawn_local({
             let router = router.clone();
             async move { stop(&router).await }
         });
         after(5000).await;
         assert!(!stopping.is_finished());
-        let mut answer = Vec::new();
-        caller.read_to_end(&mut answer).await.expect("read");
-        assert!(answer.len() > ANSWER_BYTES);
-        let read = Instant::now();
+        let mut response = Vec::new();
+        caller.read_to_end(&mut response).await.expect("read");
+        assert!(response.len() > RESPONSE_BYTES);
+        let read_at = Instant::now();
         stopping.await.expect("stopped");
-        assert!(read.elapsed() < Duration::from_millis(500));
+        assert!(read_at.elapsed() < Duration::from_millis(500));
     };
     tasks.run_until(test).await;
 }
 
-/// A process that waited for callers to look away was killed before it had ended by itself.
+/// A process that waited for callers to send elsewhere was killed at the end of a grace period that
+/// had been shortened meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_grace_period_shortened_during_a_stop_ends_the_process_sooner() {
     let tasks = LocalSet::new();
     let test = async {
-        let router = router_that_refuses_with(Bytes::from(vec![b'x'; ANSWER_BYTES]));
-        let _unread = caller(&router).await;
-        let begun = Instant::now();
+        let router = router_that_refuses_with(Bytes::from(vec![b'x'; RESPONSE_BYTES]));
+        let _unread = send_request(&router).await;
+        let started = Instant::now();
         let stopping = spawn_local({
             let router = router.clone();
             async move { stop(&router).await }
@@ -70,7 +73,7 @@
         settings.bounds.grace = Duration::from_millis(1500);
         router.reload(&settings);
         stopping.await.expect("stopped");
-        assert!(begun.elapsed() <= Duration::from_millis(1400));
+        assert!(started.elapsed() <= Duration::from_millis(1400));
     };
     tasks.run_until(test).await;
 }
@@ -78,7 +81,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_router_without_callers_ends_after_the_deregistration_delay() {
     let router = router();
-    let begun = Instant::now();
+    let started = Instant::now();
     stop(&router).await;
-    assert_eq!(begun.elapsed(), Duration::from_millis(2600));
+    assert_eq!(started.elapsed(), Duration::from_millis(2600));
 }
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -1,5 +1,5 @@
-//! What a router does after its machine was suspended. Its steady clock and its timers stood still
-//! meanwhile; deadlines, ages and news did not.
+//! How a router handles a suspension of its machine. Its monotonic clock and its timers stand still
+//! meanwhile, but deadlines expire, knowledge ages and updates occur elsewhere.
 
 mod common;
 
@@ -20,15 +20,15 @@
 
 use common::{after, router, router_with};
 
-/// A machine that tests suspend: its timers see nothing of that.
-struct SuspendedClock {
+/// Clock of a machine that a test can suspend; timers do not notice the suspension.
+struct SuspendableClock {
     runtime: RuntimeClock,
     suspended: Cell<Duration>,
 }
 
-impl SuspendedClock {
+impl SuspendableClock {
     fn start() -> Rc<Self> {
-        Rc::new(SuspendedClock {
+        Rc::new(SuspendableClock {
             runtime: RuntimeClock::start(),
             suspended: Cell::default(),
         })
@@ -39,7 +39,7 @@
     }
 }
 
-impl Clock for SuspendedClock {
+impl Clock for SuspendableClock {
     fn read(&self) -> Reading {
         let reading = self.runtime.read();
         Reading {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A directory whose calls wait for news that do not come.
+/// A directory that never changes and counts the calls.
 #[derive(Default)]
 struct QuietDirectory {
     calls: Cell<u32>,
@@ -76,58 +76,60 @@
     }
 }
 
-fn world() -> (Rc<SuspendedClock>, Rc<Router>) {
-    let clock = SuspendedClock::start();
+fn suspendable_router() -> (Rc<SuspendableClock>, Rc<Router>) {
+    let clock = SuspendableClock::start();
     let router = router_with(clock.clone());
     (clock, router)
 }
 
-const EIGHT: Duration = Duration::from_secs(8);
+const SUSPENSION: Duration = Duration::from_secs(8);
 
 #[tokio::test(start_paused = true)]
 async fn time_goes_on_while_the_machine_is_suspended() {
-    let (clock, router) = world();
+    let (clock, router) = suspendable_router();
     after(1000).await;
-    clock.suspend(EIGHT);
+    clock.suspend(SUSPENSION);
     assert_eq!(router.now().since(Time(0)).as_secs(), 9);
 }
 
-/// A request whose time is over when its machine wakes ends at once, and not 8 s later.
+/// A request whose deadline passed during a suspension of 8 s ends when the machine resumes, and
+/// not 8 s later.
 #[tokio::test(start_paused = true)]
 async fn a_wait_past_its_deadline_ends_when_the_machine_resumes() {
-    let (clock, router) = world();
-    let limit = router.now() + Duration::from_secs(5);
-    let begun = Instant::now();
-    let (ended, ()) = tokio::join!(
-        router.timeout_at(limit, std::future::pending::<()>()),
+    let (clock, router) = suspendable_router();
+    let deadline = router.now() + Duration::from_secs(5);
+    let started = Instant::now();
+    let (result, ()) = tokio::join!(
+        router.timeout_at(deadline, std::future::pending::<()>()),
         async {
             after(1000).await;
-            clock.suspend(EIGHT);
+            clock.suspend(SUSPENSION);
             after(100).await;
             router.check_for_suspension();
         }
     );
-    assert_eq!(ended, None);
-    assert_eq!(begun.elapsed(), Duration::from_millis(1100));
+    assert_eq!(result, None);
+    assert_eq!(started.elapsed(), Duration::from_millis(1100));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_suspension_counts_towards_a_later_deadline() {
-    let (clock, router) = world();
-    let limit = router.now() + Duration::from_secs(5);
-    let begun = Instant::now();
-    let ((), ()) = tokio::join!(router.sleep_until(limit), async {
+    let (clock, router) = suspendable_router();
+    let deadline = router.now() + Duration::from_secs(5);
+    let started = Instant::now();
+    let ((), ()) = tokio::join!(router.sleep_until(deadline), async {
         after(1000).await;
         clock.suspend(Duration::from_secs(2));
         router.check_for_suspension();
     });
-    assert_eq!(begun.elapsed().as_secs(), 3);
+    assert_eq!(started.elapsed().as_secs(), 3);
 }
 
-/// Readings that differ by less than a moment are no suspension, also when they add up slowly.
+/// The clocks are read one after the other, so that their readings differ a little. Small
+/// differences do not count as a suspension, not even when they add up over several checks.
 #[tokio::test(start_paused = true)]
 async fn small_clock_differences_do_not_count_as_a_suspension() {
-    let (clock, router) = world();
+    let (clock, router) = suspendable_router();
     for _ in 0..3 {
         clock.suspend(Duration::from_millis(20));
         router.check_for_suspension();
@@ -138,12 +140,13 @@
     assert!(router.awaits_contact());
 }
 
-/// The store is asked anew at once: the call that waits there may be on a dead connection.
+/// The store is polled at once after a suspension, because the connection of the call that waits
+/// there may be dead.
 #[tokio::test(start_paused = true)]
 async fn after_a_suspension_the_store_is_polled_at_once_and_steady_after_the_renewal_period() {
     let local = tokio::task::LocalSet::new();
-    let play = async {
-        let (clock, router) = world();
+    let test = async {
+        let (clock, router) = suspendable_router();
         let store = Rc::new(StoreMonitor::new("store").expect("a chart"));
         let directory = Rc::new(QuietDirectory::default());
         tokio::task::spawn_local(follow_directory(
@@ -154,17 +157,17 @@
         after(300).await;
         let calls = directory.calls.get();
         assert!(store.is_steady(router.now()));
-        clock.suspend(EIGHT);
+        clock.suspend(SUSPENSION);
         router.check_for_suspension();
         assert!(router.awaits_contact());
         after(10).await;
         assert_eq!(directory.calls.get(), calls + 1);
-        assert!(!router.awaits_contact(), "the store was heard");
-        assert!(!store.is_steady(router.now()), "entries may have lapsed");
+        assert!(!router.awaits_contact(), "the store answered");
+        assert!(!store.is_steady(router.now()), "entries may have expired");
         after(2500).await;
         assert!(store.is_steady(router.now()));
     };
-    local.run_until(play).await;
+    local.run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
@@ -177,18 +180,19 @@
 
 #[tokio::test(start_paused = true)]
 async fn without_contact_knowledge_from_before_a_suspension_is_used_after_a_second() {
-    let (clock, router) = world();
-    clock.suspend(EIGHT);
+    let (clock, router) = suspendable_router();
+    clock.suspend(SUSPENSION);
     router.check_for_suspension();
     assert!(router.awaits_contact());
     after(1000).await;
     assert!(!router.awaits_contact());
 }
 
-/// That no byte came while nothing could be read here says nothing of a back end.
+/// While the machine is suspended it reads nothing, so missing bytes do not show that a back end is
+/// silent.
 #[tokio::test(start_paused = true)]
 async fn a_suspension_does_not_count_as_silence_of_back_ends() {
-    let (clock, router) = world();
+    let (clock, router) = suspendable_router();
     let entry = BackEndEntry {
         id: "b".to_owned(),
         born: 0,
@@ -214,13 +218,13 @@
             back_end.on_send(now);
         },
     );
-    clock.suspend(EIGHT);
+    clock.suspend(SUSPENSION);
     router.check_for_suspension();
     let silent = is_silent(&router);
     assert!(!silent);
     after(500).await;
     let silent = is_silent(&router);
-    assert!(silent, "silence counts from the moment at which it wakes");
+    assert!(silent, "silence counts from the resume");
 }
 
 fn is_silent(router: &Router) -> bool {
--- a/crates/stacktack-direct/tests/verdicts.rs
+++ b/crates/stacktack-direct/tests/verdicts.rs
@@ -1,4 +1,5 @@
-//! Verdicts and the store that keeps them, on virtual time.
+//! How a router reads verdicts on fatal requests from a store and writes them there, on virtual
+//! time.
 
 mod common;
 
@@ -20,9 +21,11 @@
 
 use common::{after, router, router_with};
 
+/// A store of verdicts that counts the calls.
 #[derive(Default)]
 struct Store {
     down: Cell<bool>,
+    /// Epochs of the verdicts by request.
     verdicts: RefCell<BTreeMap<RequestDigest, u32>>,
     reads: Cell<u32>,
     writes: Cell<u32>,
@@ -84,7 +87,7 @@
     })
 }
 
-fn life(born: u64) -> InstanceId {
+fn instance(born: u64) -> InstanceId {
     InstanceId::of(&BackEndEntry {
         id: "b".to_owned(),
         born,
@@ -97,11 +100,12 @@
     })
 }
 
-fn convict(router: &Router) {
+/// Records three crashes under the request, so that it is set aside.
+fn set_aside(router: &Router) {
     for born in 1..=3 {
         let now = router.now();
         let mut quarantine = router.quarantine.borrow_mut();
-        quarantine.on_crash(request(), life(born), true, now);
+        quarantine.on_crash(request(), instance(born), true, now);
     }
 }
 
@@ -111,17 +115,17 @@
 }
 
 fn start(router: &Rc<Router>, store: &Rc<Store>) {
-    let dependency = Rc::new(StoreMonitor::new("store").expect("a chart"));
-    tokio::task::spawn_local(sync_verdicts(router.clone(), store.clone(), dependency));
+    let monitor = Rc::new(StoreMonitor::new("store").expect("a chart"));
+    tokio::task::spawn_local(sync_verdicts(router.clone(), store.clone(), monitor));
 }
 
-async fn play(story: impl Future<Output = ()>) {
-    tokio::task::LocalSet::new().run_until(story).await;
+async fn run_local(test: impl Future<Output = ()>) {
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_router_that_starts_reads_the_stored_verdicts() {
-    play(async {
+    run_local(async {
         let store = Rc::new(Store::default());
         store.verdicts.borrow_mut().insert(request(), 3);
         let router = router();
@@ -136,13 +140,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_verdict_is_written_once_the_store_answers() {
-    play(async {
+    run_local(async {
         let store = Rc::new(Store::default());
         let router = router();
         start(&router, &store);
         after(500).await;
         store.down.set(true);
-        convict(&router);
+        set_aside(&router);
         after(5_000).await;
         assert!(store.verdicts.borrow().is_empty() && store.writes.get() > 3);
         store.down.set(false);
@@ -157,12 +161,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_verdict_is_lifted_by_dropping_it_or_by_a_successful_run() {
-    play(async {
+    run_local(async {
         let store = Rc::new(Store::default());
         let router = router();
         start(&router, &store);
         after(500).await;
-        convict(&router);
+        set_aside(&router);
         after(500).await;
         assert_eq!(store.verdicts.borrow().len(), 1);
         store.verdicts.borrow_mut().clear();
@@ -172,7 +176,7 @@
             Treatment::Usual,
             "an operator dropped it"
         );
-        convict(&router);
+        set_aside(&router);
         after(500).await;
         assert_eq!(store.verdicts.borrow().get(&request()), Some(&1));
         let now = router.now();
@@ -181,23 +185,27 @@
             .borrow_mut()
             .on_successful_run(request(), now);
         after(500).await;
-        assert!(store.verdicts.borrow().is_empty(), "a run of it ended well");
+        assert!(
+            store.verdicts.borrow().is_empty(),
+            "a run of it was successful"
+        );
     })
     .await;
 }
 
-/// Half of the peers fell silent: what they know comes over the store only.
+/// More than half of the peers fell silent: the verdicts that they know reach the router over the
+/// store only.
 #[tokio::test(start_paused = true)]
 async fn a_router_whose_peers_fell_silent_reads_each_second() {
-    play(async {
+    run_local(async {
         let store = Rc::new(Store::default());
         let router = router_with(Rc::new(stacktack_direct::clock::RuntimeClock::start()));
         start(&router, &store);
         after(500).await;
         assert_eq!(store.reads.get(), 1);
-        hear_one_peer(&router);
+        receive_gossip_of_one_peer(&router);
         after(2_000).await;
-        assert_eq!(store.reads.get(), 1, "it was just heard");
+        assert_eq!(store.reads.get(), 1, "the peer sent gossip recently");
         after(1_000).await;
         router
             .peers
@@ -213,11 +221,11 @@
     .await;
 }
 
-fn hear_one_peer(router: &Router) {
+fn receive_gossip_of_one_peer(router: &Router) {
     let from = SocketAddr::from(([127, 0, 0, 1], 10));
-    let news = steady_peer::steady_peer(from, 0, 0);
+    let gossip = steady_peer::steady_peer_gossip(from, 0, 0);
     let now = router.now();
-    router.peers.borrow_mut().receive(&news, now);
+    router.peers.borrow_mut().receive(&gossip, now);
 }
 
 #[path = "common/steady_peer.rs"]
--- a/crates/stacktack-direct/tests/zone_drains.rs
+++ b/crates/stacktack-direct/tests/zone_drains.rs
@@ -1,4 +1,4 @@
-//! What a router holds of drained zones while the operator's store and peers tell it, on
+//! Which zones a router treats as drained, according to the operator's store and to peers, on
 //! virtual time.
 
 mod common;
@@ -28,25 +28,28 @@
 use tokio::time::timeout;
 
 use common::{after, router};
-use steady_peer::steady_peer;
+use steady_peer::steady_peer_gossip;
 
-/// Time within which a drain has to be in force while the store serves the router.
-const SOON: u64 = 200;
+/// Time in milliseconds within which a drain has to be in force while the store answers the router.
+const DRAIN_APPLY_MS: u64 = 200;
 
-/// The operator's table: versions of the configuration, and drains by zone.
+/// The store of the operator: versions of the configuration, and drains by zone.
 #[derive(Default)]
-struct Operator {
+struct OperatorStore {
     revision: Cell<u64>,
     down: Cell<bool>,
-    forgotten: Cell<u64>,
+    /// Oldest revision after which changes are still kept.
+    oldest_kept_revision: Cell<u64>,
+    /// Version of the configuration.
     configuration: Cell<u64>,
-    /// Revision of the last change by zone, and whether it is drained.
+    /// Revision of the last change of each zone, and whether the zone is drained.
     zones: RefCell<BTreeMap<String, (u64, bool)>>,
     changed: Notify,
+    /// Number of reads of the drains alone, without the configuration.
     zone_reads: Cell<u32>,
 }
 
-impl Operator {
+impl OperatorStore {
     fn next_revision(&self) -> u64 {
         self.revision.set(self.revision.get() + 1);
         self.revision.get()
@@ -69,18 +72,18 @@
     }
 
     fn forget_history(&self) {
-        self.forgotten.set(self.next_revision());
+        self.oldest_kept_revision.set(self.next_revision());
         self.changed.notify_waiters();
     }
 
     fn zone_drains(&self, after: Option<u64>) -> ZoneDrainUpdate {
         let zones = self.zones.borrow();
-        let told = zones.iter().filter(|(_, (revision, drained))| match after {
+        let changed = zones.iter().filter(|(_, (revision, drained))| match after {
             Some(after) => *revision > after,
             None => *drained,
         });
         ZoneDrainUpdate {
-            changes: told
+            changes: changed
                 .map(|(zone, (revision, drained))| ZoneDrain {
                     zone: zone.clone(),
                     drained: *drained,
@@ -91,7 +94,7 @@
         }
     }
 
-    fn news(&self, after: Option<u64>) -> ConfigurationUpdate {
+    fn update(&self, after: Option<u64>) -> ConfigurationUpdate {
         let version = self.configuration.get();
         let is_new = version > after.unwrap_or(0);
         ConfigurationUpdate {
@@ -105,25 +108,25 @@
         }
     }
 
-    async fn changed_news(&self, after: u64) -> Result<ConfigurationUpdate, SourceError> {
+    async fn wait_for_update(&self, after: u64) -> Result<ConfigurationUpdate, SourceError> {
         loop {
             let changed = self.changed.notified();
             if self.down.get() {
                 return Err(SourceError::Broken);
             }
-            if after < self.forgotten.get() {
+            if after < self.oldest_kept_revision.get() {
                 return Err(SourceError::HistoryGone);
             }
-            let news = self.news(Some(after));
-            if news.version_count > 0 || !news.zone_drains.changes.is_empty() {
-                return Ok(news);
+            let update = self.update(Some(after));
+            if update.version_count > 0 || !update.zone_drains.changes.is_empty() {
+                return Ok(update);
             }
             changed.await;
         }
     }
 }
 
-/// The version stored at a revision; its number is the revision.
+/// The configuration stored at a revision; its version is the revision.
 fn configuration(version: u64) -> TrafficConfiguration {
     TrafficConfiguration {
         version,
@@ -137,7 +140,7 @@
     }
 }
 
-impl ConfigurationSource for Operator {
+impl ConfigurationSource for OperatorStore {
     fn configuration(
         &self,
         after: Option<u64>,
@@ -149,14 +152,14 @@
             if self.down.get() {
                 return Err(SourceError::Broken);
             }
-            let news = match after {
-                None => self.news(None),
-                Some(after) => timeout(wait, self.changed_news(after))
+            let update = match after {
+                None => self.update(None),
+                Some(after) => timeout(wait, self.wait_for_update(after))
                     .await
-                    .unwrap_or_else(|_| Ok(self.news(Some(after))))?,
+                    .unwrap_or_else(|_| Ok(self.update(Some(after))))?,
             };
             transfer.on_bytes(1);
-            Ok(news)
+            Ok(update)
         })
     }
 
@@ -189,12 +192,12 @@
     }
 }
 
-/// Runs a script beside a router that follows the operator, with a back end in each of
-/// two zones.
+/// Runs a script while a router, with a back end in each of two zones, follows the store of the
+/// operator.
 async fn follow<F: std::future::Future<Output = ()>>(
-    script: impl FnOnce(Rc<Operator>, Rc<Router>) -> F,
+    script: impl FnOnce(Rc<OperatorStore>, Rc<Router>) -> F,
 ) {
-    let operator = Rc::new(Operator::default());
+    let operator = Rc::new(OperatorStore::default());
     operator.configure();
     let router = router();
     let mut change = DirectoryChange::default();
@@ -211,42 +214,49 @@
 }
 
 /// Ids of the back ends that may get requests.
-fn open(router: &Router) -> Vec<String> {
+fn eligible_back_ends(router: &Router) -> Vec<String> {
     let candidates = router.candidates(&[], &[], Retryability::Retryable, None);
     let pairs = candidates.list.iter().zip(&candidates.ids);
-    let mut open: Vec<String> = pairs
+    let mut ids: Vec<String> = pairs
         .filter(|(candidate, _)| candidate.eligible)
         .map(|(_, id)| id.clone())
         .collect();
-    open.sort();
-    open
+    ids.sort();
+    ids
 }
 
-/// Time after its start from which a router that hears of no other takes itself for the only
-/// one, so that all that a cold back end bears may come from it.
-const KNOWS_FLEET: u64 = 2100;
+/// Time in milliseconds after its start from which a router that knows of no other one assumes to
+/// be the only one, and may send the full slow-start rate of a cold back end.
+const DISCOVERY_MS: u64 = 2100;
 
 #[tokio::test(start_paused = true)]
 async fn a_drained_zone_gets_no_requests_until_it_is_undrained() {
     follow(|operator, router| async move {
-        after(KNOWS_FLEET).await;
-        assert_eq!(open(&router), ["one", "two"]);
+        after(DISCOVERY_MS).await;
+        assert_eq!(eligible_back_ends(&router), ["one", "two"]);
         operator.drain("b", true);
-        after(SOON).await;
-        assert_eq!(open(&router), ["one"]);
+        after(DRAIN_APPLY_MS).await;
+        assert_eq!(eligible_back_ends(&router), ["one"]);
         assert!(!router.is_pool_drained(&[]));
         operator.drain("a", true);
-        after(SOON).await;
-        assert!(open(&router).is_empty());
+        after(DRAIN_APPLY_MS).await;
+        assert!(eligible_back_ends(&router).is_empty());
         assert!(router.is_pool_drained(&[]));
         operator.drain("a", false);
-        after(SOON).await;
-        assert!(open(&router).is_empty(), "it may have turned cold");
+        after(DRAIN_APPLY_MS).await;
+        assert!(
+            eligible_back_ends(&router).is_empty(),
+            "it may have turned cold"
+        );
         router.update_slow_start();
-        assert_eq!(open(&router), ["one"], "a first request may go there");
+        assert_eq!(
+            eligible_back_ends(&router),
+            ["one"],
+            "a first request may go there"
+        );
         after(3000).await;
         router.update_slow_start();
-        assert_eq!(open(&router), ["one"]);
+        assert_eq!(eligible_back_ends(&router), ["one"]);
         assert_eq!(operator.zone_reads.get(), 0, "all came with the feed");
     })
     .await;
@@ -254,14 +264,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_router_that_starts_during_a_drain_gets_it_with_its_configuration() {
-    let operator = Rc::new(Operator::default());
+    let operator = Rc::new(OperatorStore::default());
     operator.configure();
     operator.drain("b", true);
     let router = router();
     let store = Rc::new(StoreMonitor::new("store").expect("chart"));
     tokio::select! {
         () = follow_configuration(router.clone(), operator.clone(), store.clone()) => {}
-        () = after(SOON) => {}
+        () = after(DRAIN_APPLY_MS) => {}
     }
     assert_eq!(router.configuration_version(), 1);
     assert!(router.zone_drains.borrow().is_drained("b"));
@@ -271,7 +281,7 @@
 async fn drains_are_correct_after_the_store_forgot_its_history() {
     follow(|operator, router| async move {
         operator.drain("b", true);
-        after(SOON).await;
+        after(DRAIN_APPLY_MS).await;
         operator.set_down(true);
         after(1000).await;
         operator.drain("b", false);
@@ -286,12 +296,13 @@
     .await;
 }
 
-/// A router that has a newer configuration from a peer goes on from its revision. What
-/// the operator asked of zones before that is read apart; without that it was never heard.
+/// A router that has a newer configuration from a peer continues reading after the revision of that
+/// configuration. It reads older drains of the operator separately; without that read it never
+/// learned of them.
 #[tokio::test(start_paused = true)]
 async fn drains_older_than_a_configuration_from_a_peer_are_not_missed() {
     follow(|operator, router| async move {
-        after(SOON).await;
+        after(DRAIN_APPLY_MS).await;
         operator.set_down(true);
         after(1000).await;
         operator.drain("b", true);
@@ -307,41 +318,44 @@
     .await;
 }
 
-/// What a peer tells counts while the store says nothing; the store's later word goes
-/// first.
+/// A drain from a peer applies while the store does not answer; a later change in the store
+/// overrides it.
 #[tokio::test(start_paused = true)]
 async fn drains_from_peers_apply_while_the_store_is_down_until_the_store_has_newer_ones() {
     follow(|operator, router| async move {
-        after(SOON).await;
+        after(DRAIN_APPLY_MS).await;
         operator.set_down(true);
         operator.drain("b", true);
-        let told = ZoneDrain {
+        let gossiped = ZoneDrain {
             zone: "b".to_owned(),
             drained: true,
             revision: operator.revision.get(),
         };
         let from = SocketAddr::from(([127, 0, 0, 1], 10));
-        let news = steady_peer(from, router.configuration_version(), 1);
-        router.peers.borrow_mut().receive(&news, router.now());
-        router.merge_zone_drain(&told, "peer");
-        assert_eq!(open(&router), ["one"]);
+        let gossip = steady_peer_gossip(from, router.configuration_version(), 1);
+        router.peers.borrow_mut().receive(&gossip, router.now());
+        router.merge_zone_drain(&gossiped, "peer");
+        assert_eq!(eligible_back_ends(&router), ["one"]);
         operator.drain("b", false);
         operator.set_down(false);
         after(2500).await;
         assert!(!router.zone_drains.borrow().is_drained("b"));
-        router.merge_zone_drain(&told, "peer");
-        assert!(!router.zone_drains.borrow().is_drained("b"), "late news");
+        router.merge_zone_drain(&gossiped, "peer");
+        assert!(
+            !router.zone_drains.borrow().is_drained("b"),
+            "outdated gossip"
+        );
     })
     .await;
 }
 
-/// An unknown zone refuses nobody.
+/// A drain of an unknown zone causes no refusals.
 #[tokio::test(start_paused = true)]
 async fn a_drain_of_an_unknown_zone_changes_nothing() {
     follow(|operator, router| async move {
         operator.drain("elsewhere", true);
-        after(SOON).await;
-        assert_eq!(open(&router), ["one", "two"]);
+        after(DRAIN_APPLY_MS).await;
+        assert_eq!(eligible_back_ends(&router), ["one", "two"]);
         assert!(!router.is_pool_drained(&[]));
     })
     .await;
