--- a/crates/stacktack-agent/src/app.rs
+++ b/crates/stacktack-agent/src/app.rs
@@ -187,7 +187,7 @@
     }
 
     fn on_members(&self, control: &Control) {
-        let loads = control.members().working_loads();
+        let loads = control.members().active_agent_loads();
         self.send(TrafficCommand::PeerLoads(loads));
     }
 
--- a/crates/stacktack-agent/src/operator.rs
+++ b/crates/stacktack-agent/src/operator.rs
@@ -84,7 +84,7 @@
     }
 
     fn status(&self) -> Status {
-        let (sent, received) = self.control.with(|control| control.bytes());
+        let (sent, received) = self.control.with(|control| control.byte_totals());
         let GateCounters {
             started,
             refused,
--- a/crates/stacktack-core/src/control/io.rs
+++ b/crates/stacktack-core/src/control/io.rs
@@ -26,7 +26,7 @@
     /// The platform's machine list; it lags.
     Machines(Vec<MemberInformation>),
     /// Machines that the platform is about to take away.
-    Leaving(Vec<(NodeId, Incarnation)>),
+    LeavingMachines(Vec<(NodeId, Incarnation)>),
     /// The head of the configuration, as read from the table.
     Head(HeadRow),
     /// A snapshot from the object store.
@@ -36,7 +36,7 @@
     /// A read of configuration failed; it may be asked for again.
     ReadFailed,
     /// An agent said that this process's configuration is old.
-    WantConfiguration,
+    ConfigurationStale,
     /// State that the own heartbeats tell.
     OwnState {
         /// Load divided by capacity.
@@ -72,7 +72,7 @@
     /// Fetch the whole configuration from a peer's operator address.
     FetchSnapshot(SocketAddr),
     /// Read the list of machines about to be taken away.
-    ReadLeaving,
+    ReadLeavingMachines,
     /// A later configuration is in force.
     Configuration {
         /// The configuration.
@@ -81,5 +81,5 @@
         changes: Vec<Change>,
     },
     /// The platform is about to take this process's machine away.
-    OwnMachineLeaves,
+    OwnMachineLeaving,
 }
--- a/crates/stacktack-core/src/control/members.rs
+++ b/crates/stacktack-core/src/control/members.rs
@@ -185,7 +185,7 @@
     }
 
     /// Loads of the agents that take work, and when each was true.
-    pub fn working_loads(&self) -> Vec<(NodeId, f64, Time)> {
+    pub fn active_agent_loads(&self) -> Vec<(NodeId, f64, Time)> {
         self.agents()
             .filter(|(_, member)| member.heartbeat.sequence > 0 && member.suspected_at.is_none())
             .filter(|(_, member)| !member.heartbeat.draining && !member.leaving)
--- a/crates/stacktack-core/src/control/mod.rs
+++ b/crates/stacktack-core/src/control/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// Bytes sent and received, headers counted.
-    pub fn bytes(&self) -> (u64, u64) {
+    pub fn byte_totals(&self) -> (u64, u64) {
         self.budget.totals()
     }
 
@@ -142,14 +142,14 @@
                 self.on_datagram(now, source, *datagram, outputs);
             }
             ControlInput::Machines(machines) => self.on_machines(now, machines),
-            ControlInput::Leaving(leaving) => self.on_leaving(now, leaving, outputs),
+            ControlInput::LeavingMachines(leaving) => self.on_leaving(now, leaving, outputs),
             ControlInput::Head(head) => self.sync.on_head(now, head, outputs),
             ControlInput::Snapshot(configuration) => {
                 self.sync.on_snapshot(*configuration, outputs);
             }
             ControlInput::Changes(changes) => self.on_changes(now, &changes, outputs),
             ControlInput::ReadFailed => self.sync.on_read_failed(),
-            ControlInput::WantConfiguration => self.ask_anyone(now, outputs),
+            ControlInput::ConfigurationStale => self.ask_anyone(now, outputs),
             ControlInput::OwnState { load, draining } => {
                 self.load = load;
                 self.draining = draining;
@@ -177,7 +177,7 @@
             let own = node == self.node && incarnation == self.own.incarnation;
             if own && !self.leaving {
                 self.leaving = true;
-                outputs.push(ControlOutput::OwnMachineLeaves);
+                outputs.push(ControlOutput::OwnMachineLeaving);
                 news.push((node, incarnation));
             }
             if self.members.mark_leaving(node, incarnation) {
--- a/crates/stacktack-core/src/control/rounds.rs
+++ b/crates/stacktack-core/src/control/rounds.rs
@@ -114,7 +114,7 @@
             outputs.push(ControlOutput::ReadHead);
         }
         if self.random.random_bool(chance) {
-            outputs.push(ControlOutput::ReadLeaving);
+            outputs.push(ControlOutput::ReadLeavingMachines);
         }
     }
 }
--- a/crates/stacktack-core/src/dispatch/choice.rs
+++ b/crates/stacktack-core/src/dispatch/choice.rs
@@ -104,7 +104,7 @@
             input,
             choice,
         };
-        self.records.decide(attempt, decision);
+        self.records.add_decision(attempt, decision);
     }
 }
 
--- a/crates/stacktack-core/src/dispatch/fate.rs
+++ b/crates/stacktack-core/src/dispatch/fate.rs
@@ -49,7 +49,7 @@
         let (Some(agent), Some(incarnation)) = (entry.agent, entry.incarnation) else {
             return;
         };
-        self.counters.fates_asked += 1;
+        self.counters.fate_queries += 1;
         outputs.push(DispatchOutput::ToAgent {
             agent,
             message: ToAgent::AskFate {
--- a/crates/stacktack-core/src/dispatch/io.rs
+++ b/crates/stacktack-core/src/dispatch/io.rs
@@ -101,7 +101,7 @@
         problem: Problem,
     },
     /// End the caller's answer, part of which was sent, with a problem.
-    Cut {
+    Abort {
         /// The request.
         request: RequestId,
         /// The problem.
@@ -131,7 +131,7 @@
     /// Messages about attempts that are no longer current.
     pub late_messages: u64,
     /// Fates asked.
-    pub fates_asked: u64,
+    pub fate_queries: u64,
 }
 
 impl DispatchCounters {
@@ -144,6 +144,6 @@
         self.offers += other.offers;
         self.retries += other.retries;
         self.late_messages += other.late_messages;
-        self.fates_asked += other.fates_asked;
+        self.fate_queries += other.fate_queries;
     }
 }
--- a/crates/stacktack-core/src/dispatch/messages.rs
+++ b/crates/stacktack-core/src/dispatch/messages.rs
@@ -136,7 +136,7 @@
                 entry.counted_refusals += 1;
             }
         }
-        self.records.note(
+        self.records.add_event(
             id,
             format!("refused {} {:?}", refused.agent, refused.refusal),
         );
--- a/crates/stacktack-core/src/dispatch/mod.rs
+++ b/crates/stacktack-core/src/dispatch/mod.rs
@@ -344,7 +344,7 @@
         if event != Event::Data {
             let attempt = entry.attempts;
             self.records
-                .note(id, format!("{event:?} (attempt {attempt})"));
+                .add_event(id, format!("{event:?} (attempt {attempt})"));
         }
         entry.state = next;
         for action in actions {
@@ -367,7 +367,7 @@
             self.timers.remove(&(timer, id));
         }
         if event == Event::CallerGone {
-            self.records.end(id, Ending::CallerGone);
+            self.records.set_ending(id, Ending::CallerGone);
         }
     }
 
--- a/crates/stacktack-core/src/dispatch/record.rs
+++ b/crates/stacktack-core/src/dispatch/record.rs
@@ -119,7 +119,7 @@
     }
 
     /// Adds a choice.
-    pub fn decide(&mut self, attempt: AttemptId, decision: DecisionRecord) {
+    pub fn add_decision(&mut self, attempt: AttemptId, decision: DecisionRecord) {
         let named = decision.named();
         let Some(record) = self.get_mut(attempt.request) else {
             return;
@@ -139,14 +139,14 @@
     }
 
     /// Adds an event.
-    pub fn note(&mut self, request: RequestId, event: String) {
+    pub fn add_event(&mut self, request: RequestId, event: String) {
         if let Some(record) = self.get_mut(request) {
             record.events.push(event);
         }
     }
 
     /// Sets the ending.
-    pub fn end(&mut self, request: RequestId, ending: Ending) {
+    pub fn set_ending(&mut self, request: RequestId, ending: Ending) {
         if let Some(record) = self.get_mut(request) {
             record.ending = ending;
         }
--- a/crates/stacktack-core/src/dispatch/settle.rs
+++ b/crates/stacktack-core/src/dispatch/settle.rs
@@ -127,7 +127,7 @@
         }
         outputs.push(DispatchOutput::End { request: id });
         self.counters.answered += 1;
-        self.records.end(id, Ending::Answered);
+        self.records.set_ending(id, Ending::Answered);
         self.write_claim_end(id, KeyState::Ran, outputs);
     }
 
@@ -209,10 +209,11 @@
         } else {
             self.counters.failed += 1;
         }
-        self.records.end(id, Ending::Problem(problem.clone()));
+        self.records
+            .set_ending(id, Ending::Problem(problem.clone()));
         let request = id;
         outputs.push(if head_sent {
-            DispatchOutput::Cut { request, problem }
+            DispatchOutput::Abort { request, problem }
         } else {
             DispatchOutput::Problem { request, problem }
         });
--- a/crates/stacktack-core/tests/records.rs
+++ b/crates/stacktack-core/tests/records.rs
@@ -45,7 +45,7 @@
             String::from("tenant"),
             Target::Model(String::from("m")),
         );
-        ring.decide(AttemptId { request, number: 1 }, decision(1_000));
+        ring.add_decision(AttemptId { request, number: 1 }, decision(1_000));
     }
     assert_eq!(ring.len(), 200);
     assert!(ring.get(RequestId(999)).is_some());
--- a/crates/stacktack-lab/src/capacity.rs
+++ b/crates/stacktack-lab/src/capacity.rs
@@ -235,7 +235,7 @@
 
     fn bytes(&self) -> Vec<u64> {
         let total = |control: &Control| {
-            let (sent, received) = control.bytes();
+            let (sent, received) = control.byte_totals();
             sent + received
         };
         self.controls.iter().map(total).collect()
@@ -345,7 +345,7 @@
                     self.handle(id, ControlInput::Changes(changes));
                 }
             }
-            ControlOutput::ReadLeaving => self.charge_read(id),
+            ControlOutput::ReadLeavingMachines => self.charge_read(id),
             ControlOutput::Configuration { configuration, .. } => {
                 if configuration.version == ConfigurationVersion(2) {
                     self.in_force[id] = Some(self.now);
@@ -353,7 +353,7 @@
             }
             ControlOutput::ReadSnapshot(_)
             | ControlOutput::FetchSnapshot(_)
-            | ControlOutput::OwnMachineLeaves => {}
+            | ControlOutput::OwnMachineLeaving => {}
         }
     }
 
--- a/crates/stacktack-lab/src/emulator/agent.rs
+++ b/crates/stacktack-lab/src/emulator/agent.rs
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn tick_agent(&mut self, id: ProcessId) {
-        let loads = self.processes[id].control.members().working_loads();
+        let loads = self.processes[id].control.members().active_agent_loads();
         self.handle_gate(id, GateInput::PeerLoads(loads));
         self.handle_gate(id, GateInput::Tick);
         let process = &self.processes[id];
--- a/crates/stacktack-lab/src/emulator/control.rs
+++ b/crates/stacktack-lab/src/emulator/control.rs
@@ -41,7 +41,7 @@
                 self.read(id, ReadRequest::Changes { held, change_id });
             }
             ControlOutput::FetchSnapshot(peer) => self.fetch_snapshot(id, peer),
-            ControlOutput::ReadLeaving => self.read(id, ReadRequest::Leaving),
+            ControlOutput::ReadLeavingMachines => self.read(id, ReadRequest::Leaving),
             ControlOutput::Configuration {
                 configuration,
                 changes,
@@ -60,7 +60,7 @@
                     MemberRole::Agent => self.configure_agent(id, configuration, changes),
                 }
             }
-            ControlOutput::OwnMachineLeaves => {
+            ControlOutput::OwnMachineLeaving => {
                 self.processes[id].stopping = true;
                 self.handle_gate(id, GateInput::Drain(true));
             }
@@ -142,7 +142,7 @@
             Read::Head(head) => ControlInput::Head(head),
             Read::Snapshot(configuration) => ControlInput::Snapshot(configuration),
             Read::Changes(changes) => ControlInput::Changes(changes),
-            Read::Leaving(leaving) => ControlInput::Leaving(leaving),
+            Read::Leaving(leaving) => ControlInput::LeavingMachines(leaving),
             Read::Failed => ControlInput::ReadFailed,
         };
         self.handle_control(id, input);
--- a/crates/stacktack-lab/src/emulator/router.rs
+++ b/crates/stacktack-lab/src/emulator/router.rs
@@ -49,14 +49,14 @@
             DispatchOutput::Problem { request, problem } => {
                 self.callers.on_problem(self.now, request, problem);
             }
-            DispatchOutput::Cut { request, problem } => {
+            DispatchOutput::Abort { request, problem } => {
                 self.callers.on_cut(self.now, request, problem);
             }
             DispatchOutput::Changes(changes) => {
                 self.handle_control(id, ControlInput::Changes(changes));
             }
             DispatchOutput::FetchConfiguration => {
-                self.handle_control(id, ControlInput::WantConfiguration);
+                self.handle_control(id, ControlInput::ConfigurationStale);
             }
         }
     }
--- a/crates/stacktack-node/src/control.rs
+++ b/crates/stacktack-node/src/control.rs
@@ -140,7 +140,7 @@
             ControlOutput::FetchSnapshot(peer) => {
                 actix_rt::spawn(self.clone().fetch_snapshot(peer));
             }
-            ControlOutput::ReadLeaving => {
+            ControlOutput::ReadLeavingMachines => {
                 actix_rt::spawn(self.clone().read_leaving());
             }
             ControlOutput::Configuration {
@@ -150,7 +150,7 @@
                 log::info!(target: "control", "configuration {} is in force", configuration.version);
                 self.inner.observer.on_configuration(configuration, changes);
             }
-            ControlOutput::OwnMachineLeaves => {
+            ControlOutput::OwnMachineLeaving => {
                 log::info!(target: "control", "the platform is about to take this machine away");
                 self.inner.observer.on_leave();
             }
@@ -243,7 +243,7 @@
             .iter()
             .map(|machine| (NodeId::of(&machine.name), Incarnation(machine.incarnation)))
             .collect();
-        self.handle(ControlInput::Leaving(leaving));
+        self.handle(ControlInput::LeavingMachines(leaving));
     }
 
     async fn read_head(self) {
--- a/crates/stacktack-router/src/app.rs
+++ b/crates/stacktack-router/src/app.rs
@@ -201,7 +201,7 @@
     while let Some(command) = commands.recv().await {
         control.handle(match command {
             ControlCommand::Changes(changes) => ControlInput::Changes(changes),
-            ControlCommand::WantConfiguration => ControlInput::WantConfiguration,
+            ControlCommand::WantConfiguration => ControlInput::ConfigurationStale,
         });
     }
 }
--- a/crates/stacktack-router/src/operator.rs
+++ b/crates/stacktack-router/src/operator.rs
@@ -96,7 +96,7 @@
     }
 
     fn status(&self) -> Status {
-        let (sent, received) = self.control.with(|control| control.bytes());
+        let (sent, received) = self.control.with(|control| control.byte_totals());
         let view = self.shared.view.load();
         let agents = view
             .agents
@@ -192,7 +192,7 @@
         (
             "router_fates_asked",
             "questions about the fate of an attempt",
-            |c| c.fates_asked,
+            |c| c.fate_queries,
         ),
     ];
     for (name, description, read) in counters {
--- a/crates/stacktack-router/src/traffic.rs
+++ b/crates/stacktack-router/src/traffic.rs
@@ -175,7 +175,7 @@
                 }
             }
             DispatchOutput::Problem { request, problem } => self.refuse(request, problem),
-            DispatchOutput::Cut { request, problem } => {
+            DispatchOutput::Abort { request, problem } => {
                 log::warn!(target: "traffic", "request {request} ends incomplete: {}", problem.detail);
                 if let Some(caller) = self.inner.callers.borrow_mut().remove(&request) {
                     caller.cut(&problem);
