--- a/crates/stacktack-core/src/control/detector.rs
+++ b/crates/stacktack-core/src/control/detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection by direct and indirect pings (after SWIM).
+//! Failure detection by direct and indirect pings, as in SWIM.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,67 +9,67 @@
 
 use crate::time::Time;
 
-/// Members asked to ping one that did not answer.
+/// Number of members that are asked to ping a member that did not acknowledge a direct ping.
 pub const INDIRECT_PINGS: usize = 2;
 
-/// Time for a direct answer before others are asked.
+/// Time to wait for the acknowledgement of a direct ping before other members are asked.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time for any answer before the member is suspected.
+/// Time from a direct ping after which a member without acknowledgement is suspected.
 const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug)]
 struct Ping {
     target: NodeId,
     sent_at: Time,
-    asked_others: bool,
+    indirect_sent: bool,
 }
 
 #[derive(Debug)]
-struct Relay {
-    asker: SocketAddr,
-    asker_number: u32,
+struct RelayedPing {
+    requester: SocketAddr,
+    requester_number: u32,
     target: NodeId,
     at: Time,
 }
 
-/// Pings under way.
+/// Pings that wait for an acknowledgement.
 #[derive(Debug, Default)]
-pub struct Detector {
+pub struct FailureDetector {
     next_number: u32,
     pings: HashMap<u32, Ping>,
-    relays: HashMap<u32, Relay>,
+    relays: HashMap<u32, RelayedPing>,
 }
 
-impl Detector {
-    /// Begins a ping.
+impl FailureDetector {
+    /// Starts a direct ping and returns its message.
     pub fn ping(&mut self, now: Time, target: NodeId) -> Body {
-        let number = self.next();
+        let number = self.next_ping_number();
         self.pings.insert(
             number,
             Ping {
                 target,
                 sent_at: now,
-                asked_others: false,
+                indirect_sent: false,
             },
         );
         Body::Ping { number }
     }
 
-    /// Begins a ping on another's behalf.
+    /// Starts a ping on behalf of another member and returns its message.
     pub fn relay(
         &mut self,
         now: Time,
-        asker: SocketAddr,
+        requester: SocketAddr,
         target: NodeId,
-        asker_number: u32,
+        requester_number: u32,
     ) -> Option<Body> {
         self.relays
             .retain(|_, relay| now.since(relay.at) < TOTAL_TIMEOUT);
-        let number = self.next();
-        let relay = Relay {
-            asker,
-            asker_number,
+        let number = self.next_ping_number();
+        let relay = RelayedPing {
+            requester,
+            requester_number,
             target,
             at: now,
         };
@@ -77,9 +77,9 @@
         Some(Body::Ping { number })
     }
 
-    /// Takes an answer in; returns what to tell whom when the ping was made on
-    /// another's behalf.
-    pub fn acknowledge(&mut self, target: NodeId, number: u32) -> Option<(SocketAddr, Body)> {
+    /// Handles an acknowledgement. If the ping was made on behalf of another member, returns the
+    /// address of that member and the acknowledgement to send to it.
+    pub fn on_acknowledge(&mut self, target: NodeId, number: u32) -> Option<(SocketAddr, Body)> {
         let own = self
             .pings
             .get(&number)
@@ -92,19 +92,19 @@
             .relays
             .remove(&number)
             .filter(|relay| relay.target == target)?;
-        let answer = Body::Acknowledge {
+        let acknowledgement = Body::Acknowledge {
             target,
-            number: relay.asker_number,
+            number: relay.requester_number,
         };
-        Some((relay.asker, answer))
+        Some((relay.requester, acknowledgement))
     }
 
-    /// Pings for which others have to be asked now.
-    pub fn indirect_due(&mut self, now: Time) -> Vec<(NodeId, Body)> {
+    /// Targets and messages of the indirect pings that are due; each is returned once.
+    pub fn take_due_indirect_pings(&mut self, now: Time) -> Vec<(NodeId, Body)> {
         let mut due = Vec::new();
         for (number, ping) in &mut self.pings {
-            if !ping.asked_others && now.since(ping.sent_at) >= DIRECT_TIMEOUT {
-                ping.asked_others = true;
+            if !ping.indirect_sent && now.since(ping.sent_at) >= DIRECT_TIMEOUT {
+                ping.indirect_sent = true;
                 let body = Body::PingFor {
                     target: ping.target,
                     number: *number,
@@ -116,8 +116,9 @@
         due
     }
 
-    /// Members that did not answer in any way; each is reported once.
-    pub fn failed(&mut self, now: Time) -> Vec<NodeId> {
+    /// Members of which no acknowledgement, direct or indirect, arrived in time; each failed ping is
+    /// returned once.
+    pub fn take_failed(&mut self, now: Time) -> Vec<NodeId> {
         let mut failed: Vec<NodeId> = self
             .pings
             .values()
@@ -130,7 +131,7 @@
         failed
     }
 
-    fn next(&mut self) -> u32 {
+    fn next_ping_number(&mut self) -> u32 {
         self.next_number = self.next_number.wrapping_add(1);
         self.next_number
     }
--- a/crates/stacktack-core/src/control/io.rs
+++ b/crates/stacktack-core/src/control/io.rs
@@ -1,4 +1,4 @@
-//! What the control state is told and what it wants done.
+//! Inputs and outputs of the control state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,73 +11,73 @@
 use crate::configuration::store::{HeadRow, SnapshotReference};
 use crate::configuration::Configuration;
 
-/// What the control state is told.
+/// Input of the control state.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// A datagram of `bytes` body bytes came.
+    /// A datagram arrived.
     Datagram {
-        /// Where it came from.
+        /// Address of the sender.
         source: SocketAddr,
-        /// Size of the body.
+        /// Size of the encoded datagram in bytes, without headers.
         bytes: usize,
         /// The datagram.
         datagram: Box<Datagram>,
     },
-    /// The platform's machine list; it lags.
+    /// The platform's list of machines, which may be out of date.
     Machines(Vec<MemberInformation>),
-    /// Machines that the platform is about to take away.
+    /// Machines that the platform is about to take away, with the incarnations of their processes.
     LeavingMachines(Vec<(NodeId, Incarnation)>),
-    /// The head of the configuration, as read from the table.
+    /// Head row of the configuration, as read from the table.
     Head(HeadRow),
-    /// A snapshot from the object store.
+    /// A snapshot of the configuration, from the object store or a peer.
     Snapshot(Box<Configuration>),
-    /// Changes from the table or from an agent.
+    /// Configuration changes from the table or from an agent.
     Changes(EncodedChanges),
-    /// A read of configuration failed; it may be asked for again.
+    /// Reading the configuration failed; it may be read again.
     ReadFailed,
-    /// An agent said that this process's configuration is old.
+    /// An agent reported that the configuration of this process is stale.
     ConfigurationStale,
-    /// State that the own heartbeats tell.
+    /// State of this process for its heartbeats.
     OwnState {
-        /// Load divided by capacity.
+        /// Work units in flight divided by capacity.
         load: f64,
-        /// Whether no new work is taken.
+        /// Whether the process takes no new work.
         draining: bool,
     },
-    /// Time passed.
+    /// Time passed: do the periodic work that is due.
     Tick,
 }
 
-/// What the control state wants done.
+/// Output of the control state, to be carried out by its owner.
 #[derive(Debug)]
 pub enum ControlOutput {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address to send it to.
         target: SocketAddr,
         /// The datagram.
         datagram: Datagram,
     },
-    /// Read the head row.
+    /// Read the head row of the configuration from the table.
     ReadHead,
     /// Read a snapshot from the object store.
     ReadSnapshot(SnapshotReference),
-    /// Read changes from the table, from the head back to a version.
+    /// Read changes from the table, from the head back to the version that is held.
     ReadChanges {
-        /// Version held, which is not read.
+        /// Version that is held; its change is not read.
         held: ConfigurationVersion,
-        /// Change at the head.
+        /// Id of the change at the head.
         change_id: String,
     },
-    /// Fetch the whole configuration from a peer's operator address.
+    /// Fetch the whole configuration from the operator address of a peer.
     FetchSnapshot(SocketAddr),
-    /// Read the list of machines about to be taken away.
+    /// Read the list of machines that the platform is about to take away.
     ReadLeavingMachines,
-    /// A later configuration is in force.
+    /// A newer configuration is in force.
     Configuration {
         /// The configuration.
         configuration: Arc<Configuration>,
-        /// Changes that led to it from the one before, if known.
+        /// Changes from the previous configuration to this one; empty if unknown.
         changes: Vec<Change>,
     },
     /// The platform is about to take this process's machine away.
--- a/crates/stacktack-core/src/control/members.rs
+++ b/crates/stacktack-core/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Who is known, and how alive each is.
+//! Known members of the fleet and the failure state of each.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 
 use crate::time::Time;
 
-/// Time after which a suspected member that did not refute is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
+/// Time after which a suspected member that did not refute the suspicion is removed.
+const SUSPECT_TTL: Duration = Duration::from_secs(120);
 
-/// Share of gossip partners taken from the own zone, where there are any.
-const OWN_ZONE_SHARE: f64 = 0.5;
+/// Probability that a gossip partner is sought in the own zone.
+const OWN_ZONE_PROBABILITY: f64 = 0.5;
 
 /// A member as this process knows it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who it is.
+    /// Name, role and addresses, fixed for one incarnation.
     pub information: MemberInformation,
     /// Its latest heartbeat.
     pub heartbeat: Heartbeat,
-    /// When that heartbeat was true, on this process's clock.
-    pub heard_at: Time,
-    /// When it was first suspected, if it is.
+    /// Time of that heartbeat's load on the clock of this process.
+    pub heartbeat_at: Time,
+    /// Time since which the member is suspected, if it is.
     pub suspected_at: Option<Time>,
-    /// Whether the platform is about to take its machine away.
+    /// Whether the platform is about to take away the member's machine.
     pub leaving: bool,
 }
 
-/// All members but the process itself.
+/// All known members except the process itself.
 #[derive(Debug, Default)]
 pub struct Members {
     members: HashMap<NodeId, Member>,
@@ -45,12 +45,12 @@
         self.members.len()
     }
 
-    /// Whether nobody is known.
+    /// Whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// A member.
+    /// The member of a node, if it is known.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
@@ -62,9 +62,9 @@
             .filter_map(|node| self.members.get(node).map(|member| (*node, member)))
     }
 
-    /// Takes in who a member is; an earlier life than the known one is passed
-    /// over. Returns whether anything is new.
-    pub fn introduce(&mut self, now: Time, information: MemberInformation) -> bool {
+    /// Adds a member, or replaces it by a later incarnation. Information of the known or an earlier
+    /// incarnation is ignored. Returns whether anything changed.
+    pub fn upsert(&mut self, now: Time, information: MemberInformation) -> bool {
         let node = NodeId::of(&information.name);
         if let Some(held) = self.members.get(&node) {
             if held.information.incarnation >= information.incarnation {
@@ -84,7 +84,7 @@
         let member = Member {
             information,
             heartbeat,
-            heard_at: now,
+            heartbeat_at: now,
             suspected_at: None,
             leaving: false,
         };
@@ -92,9 +92,9 @@
         true
     }
 
-    /// Takes in a heartbeat. Returns false when the member, or this life of
-    /// it, is not known, so that it has to be asked for.
-    pub fn hear(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
+    /// Handles a heartbeat; a later one than the known one also clears the suspicion. Returns false
+    /// if the member or its incarnation is not known, so that it has to be asked for.
+    pub fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) -> bool {
         let Some(member) = self.members.get_mut(&heartbeat.node) else {
             return false;
         };
@@ -104,21 +104,21 @@
         }
         if heartbeat.incarnation == known.incarnation && heartbeat.sequence > known.sequence {
             member.heartbeat = heartbeat;
-            member.heard_at = now - Duration::from_millis(u64::from(heartbeat.age_ms));
+            member.heartbeat_at = now - Duration::from_millis(u64::from(heartbeat.age_ms));
             member.suspected_at = None;
         }
         true
     }
 
-    /// Direct word from a member: it is alive.
-    pub fn confirm(&mut self, node: NodeId) {
+    /// Clears the suspicion of a member that sent a message or acknowledged a ping.
+    pub fn mark_alive(&mut self, node: NodeId) {
         if let Some(member) = self.members.get_mut(&node) {
             member.suspected_at = None;
         }
     }
 
-    /// Suspects a life of a member unless a later heartbeat is known. Returns
-    /// whether that is news.
+    /// Marks an incarnation of a member as suspected unless a later heartbeat is known. Returns
+    /// whether anything changed.
     pub fn suspect(
         &mut self,
         now: Time,
@@ -139,7 +139,7 @@
         true
     }
 
-    /// Marks a life of a member as leaving. Returns whether that is news.
+    /// Marks an incarnation of a member as leaving. Returns whether anything changed.
     pub fn mark_leaving(&mut self, node: NodeId, incarnation: Incarnation) -> bool {
         let Some(member) = self.members.get_mut(&node) else {
             return false;
@@ -151,27 +151,28 @@
         true
     }
 
-    /// Forgets members that were suspected for long.
-    pub fn forget_dead(&mut self, now: Time) {
+    /// Removes members that have been suspected for longer than the TTL.
+    pub fn remove_expired(&mut self, now: Time) {
         self.members.retain(|_, member| {
             let suspected = member.suspected_at;
-            suspected.is_none_or(|since| now.since(since) < FORGET_AFTER)
+            suspected.is_none_or(|since| now.since(since) < SUSPECT_TTL)
         });
         let members = &self.members;
         self.order.retain(|node| members.contains_key(node));
     }
 
-    /// A member drawn at random.
-    pub fn draw(&self, random: &mut ChaCha8Rng) -> Option<NodeId> {
+    /// A random member.
+    pub fn random_member(&self, random: &mut ChaCha8Rng) -> Option<NodeId> {
         self.order.choose(random).copied()
     }
 
-    /// A member to gossip with: alive, often of the own zone.
-    pub fn draw_partner(&self, zone: &str, random: &mut ChaCha8Rng) -> Option<NodeId> {
-        let own_zone = random.random_bool(OWN_ZONE_SHARE);
+    /// A random member to gossip with, preferably one that is not suspected and, in a part of the
+    /// calls, one of `zone`.
+    pub fn random_gossip_partner(&self, zone: &str, random: &mut ChaCha8Rng) -> Option<NodeId> {
+        let own_zone = random.random_bool(OWN_ZONE_PROBABILITY);
         let mut fallback = None;
         for _ in 0..8 {
-            let node = self.draw(random)?;
+            let node = self.random_member(random)?;
             let member = self.members.get(&node)?;
             if member.suspected_at.is_some() {
                 continue;
@@ -181,15 +182,16 @@
                 break;
             }
         }
-        fallback.or_else(|| self.draw(random))
+        fallback.or_else(|| self.random_member(random))
     }
 
-    /// Loads of the agents that take work, and when each was true.
+    /// Loads of the agents that accept work, with the time of each load. Suspected, draining and
+    /// leaving agents and those without a heartbeat are left out.
     pub fn active_agent_loads(&self) -> Vec<(NodeId, f64, Time)> {
         self.agents()
             .filter(|(_, member)| member.heartbeat.sequence > 0 && member.suspected_at.is_none())
             .filter(|(_, member)| !member.heartbeat.draining && !member.leaving)
-            .map(|(node, member)| (node, f64::from(member.heartbeat.load), member.heard_at))
+            .map(|(node, member)| (node, f64::from(member.heartbeat.load), member.heartbeat_at))
             .collect()
     }
 
--- a/crates/stacktack-core/src/control/mod.rs
+++ b/crates/stacktack-core/src/control/mod.rs
@@ -1,11 +1,12 @@
-//! Control state of one process: membership, gossip, configuration.
+//! Control state of one process: membership, gossip and configuration updates. It runs on the
+//! control thread.
 //!
-//! Runs on the control thread. All datagrams pass one byte budget; what does
-//! not fit waits for a later round. Failures are found by pinging one member a
-//! second and asking two others before suspecting it, so the cost does not
-//! grow with the fleet. Loads travel as a sample of the freshest heartbeats:
-//! agents need the mean, not each value. News of configuration is pushed to a
-//! few peers by each process that learns it; a random few poll the table.
+//! All datagrams share one byte budget; a datagram over the budget is not sent, and later rounds
+//! make up for it. Failures are detected by pinging one member per second and asking two others to
+//! ping it before it is suspected, so the cost does not grow with the fleet. Loads are gossiped as a
+//! sample of the freshest heartbeats, because agents need the mean load and not each value. Each
+//! process that receives configuration changes passes them on to a few peers; a few random processes
+//! poll the table.
 
 pub mod budget;
 pub mod detector;
@@ -33,34 +34,34 @@
 pub use io::{ControlInput, ControlOutput};
 
 use budget::ByteBudget;
-use detector::Detector;
+use detector::FailureDetector;
 use members::Members;
 use sync::ConfigurationSync;
 
 /// Time between gossip rounds.
-const ROUND: Duration = Duration::from_millis(500);
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Largest encoding of one heartbeat, in bytes.
-const HEARTBEAT_BYTES: usize = 26;
+/// Maximum size of an encoded heartbeat, in bytes.
+const MAX_HEARTBEAT_BYTES: usize = 26;
 
-/// Bytes of a datagram around its heartbeats.
+/// Bytes of an encoded datagram besides its heartbeats or changes.
 const ENVELOPE_BYTES: usize = 24;
 
-/// Share of the budget's rate that heartbeats may use in one round; the rest
-/// is kept for news and answers.
-const HEARTBEAT_SHARE: f64 = 0.2;
+/// Fraction of the available byte budget that heartbeats may use in one round. The rest is left for
+/// updates and replies.
+const HEARTBEAT_BUDGET_SHARE: f64 = 0.2;
 
-/// Peers to which a process that learns news passes it on.
-const NEWS_FANOUT: usize = 3;
+/// Number of random peers that an update is passed on to.
+const GOSSIP_FANOUT: usize = 3;
 
-/// Rounds in which a new process introduces itself.
+/// Number of rounds after its start in which a process introduces itself.
 const INTRODUCTION_ROUNDS: u32 = 4;
 
-/// Reads of a row that the whole fleet makes a second, by random few.
+/// Reads of each polled row per second by the whole fleet; a few random processes make them.
 const FLEET_READS_PER_SECOND: f64 = 10.0;
 
-/// Pause before an unknown member is asked for again.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// Minimum time between two requests for information about the same member.
+const MIN_MEMBER_ASK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Control state of one process.
 pub struct Control {
@@ -71,17 +72,17 @@
     draining: bool,
     leaving: bool,
     members: Members,
-    detector: Detector,
+    detector: FailureDetector,
     sync: ConfigurationSync,
     budget: ByteBudget,
     random: ChaCha8Rng,
     next_round: Time,
     rounds: u32,
-    asked: HashMap<NodeId, Time>,
+    member_asked_at: HashMap<NodeId, Time>,
 }
 
 impl Control {
-    /// Control state that knows nobody yet.
+    /// Creates control state without members and without a configuration.
     pub fn new(
         own: MemberInformation,
         bytes_per_second: f64,
@@ -90,7 +91,7 @@
         now: Time,
     ) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let phase = ROUND.mul_f64(random.random_range(0.0..1.0));
+        let phase = ROUND_INTERVAL.mul_f64(random.random_range(0.0..1.0));
         Control {
             node: NodeId::of(&own.name),
             own,
@@ -99,17 +100,17 @@
             draining: false,
             leaving: false,
             members: Members::default(),
-            detector: Detector::default(),
+            detector: FailureDetector::default(),
             sync: ConfigurationSync::new(protections),
             budget: ByteBudget::new(bytes_per_second, now),
             random,
             next_round: now + phase,
             rounds: 0,
-            asked: HashMap::new(),
+            member_asked_at: HashMap::new(),
         }
     }
 
-    /// The members known.
+    /// The known members.
     pub fn members(&self) -> &Members {
         &self.members
     }
@@ -119,18 +120,18 @@
         self.sync.configuration()
     }
 
-    /// Bytes sent and received, headers counted.
+    /// Bytes sent and bytes received since the start, headers included.
     pub fn byte_totals(&self) -> (u64, u64) {
         self.budget.totals()
     }
 
-    /// Charges control bytes that pass outside of datagrams, such as reads of
-    /// the platform's table.
+    /// Charges control traffic outside of datagrams, such as reads of the platform's table, to the
+    /// byte budget.
     pub fn charge(&mut self, now: Time, bytes: usize) {
-        self.budget.receive(now, bytes);
+        self.budget.charge_received(now, bytes);
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Time, input: ControlInput, outputs: &mut Vec<ControlOutput>) {
         match input {
             ControlInput::Datagram {
@@ -138,7 +139,7 @@
                 bytes,
                 datagram,
             } => {
-                self.budget.receive(now, bytes + DATAGRAM_HEADER);
+                self.budget.charge_received(now, bytes + DATAGRAM_HEADER);
                 self.on_datagram(now, source, *datagram, outputs);
             }
             ControlInput::Machines(machines) => self.on_machines(now, machines),
@@ -149,7 +150,7 @@
             }
             ControlInput::Changes(changes) => self.on_changes(now, &changes, outputs),
             ControlInput::ReadFailed => self.sync.on_read_failed(),
-            ControlInput::ConfigurationStale => self.ask_anyone(now, outputs),
+            ControlInput::ConfigurationStale => self.refresh_configuration(now, outputs),
             ControlInput::OwnState { load, draining } => {
                 self.load = load;
                 self.draining = draining;
@@ -161,7 +162,7 @@
     fn on_machines(&mut self, now: Time, machines: Vec<MemberInformation>) {
         for machine in machines {
             if machine.name != self.own.name {
-                self.members.introduce(now, machine);
+                self.members.upsert(now, machine);
             }
         }
     }
@@ -172,20 +173,20 @@
         leaving: Vec<(NodeId, Incarnation)>,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let mut news = Vec::new();
+        let mut newly_leaving = Vec::new();
         for (node, incarnation) in leaving {
             let own = node == self.node && incarnation == self.own.incarnation;
             if own && !self.leaving {
                 self.leaving = true;
                 outputs.push(ControlOutput::OwnMachineLeaving);
-                news.push((node, incarnation));
+                newly_leaving.push((node, incarnation));
             }
             if self.members.mark_leaving(node, incarnation) {
-                news.push((node, incarnation));
+                newly_leaving.push((node, incarnation));
             }
         }
-        if !news.is_empty() {
-            self.spread(now, Body::Leaving(news), outputs);
+        if !newly_leaving.is_empty() {
+            self.gossip_to_random_peers(now, Body::Leaving(newly_leaving), outputs);
         }
     }
 
@@ -197,7 +198,7 @@
         outputs: &mut Vec<ControlOutput>,
     ) {
         let sender = datagram.sender;
-        self.members.confirm(sender);
+        self.members.mark_alive(sender);
         if self.members.get(sender).is_none() {
             self.ask_member(now, sender, source, outputs);
         }
@@ -216,9 +217,11 @@
                 }
             }
             Body::Acknowledge { target, number } => {
-                self.members.confirm(target);
-                if let Some((asker, answer)) = self.detector.acknowledge(target, number) {
-                    self.send(now, asker, answer, outputs);
+                self.members.mark_alive(target);
+                if let Some((requester, acknowledgement)) =
+                    self.detector.on_acknowledge(target, number)
+                {
+                    self.send(now, requester, acknowledgement, outputs);
                 }
             }
             Body::Suspect {
@@ -230,7 +233,7 @@
             Body::AskMember(node) => self.on_ask_member(now, source, node, outputs),
             Body::Introduce(information) => {
                 if information.name != self.own.name {
-                    self.members.introduce(now, information);
+                    self.members.upsert(now, information);
                 }
             }
             Body::AskChanges { base } => self.on_ask_changes(now, source, base, outputs),
@@ -246,7 +249,7 @@
         outputs: &mut Vec<ControlOutput>,
     ) {
         for heartbeat in heartbeats {
-            if heartbeat.node != self.node && !self.members.hear(now, heartbeat) {
+            if heartbeat.node != self.node && !self.members.on_heartbeat(now, heartbeat) {
                 self.ask_member(now, heartbeat.node, source, outputs);
             }
         }
@@ -264,7 +267,7 @@
             if incarnation == self.own.incarnation {
                 self.sequence = self.sequence.max(sequence) + 1;
                 let refutation = Body::Heartbeats(vec![self.own_heartbeat()]);
-                self.spread(now, refutation, outputs);
+                self.gossip_to_random_peers(now, refutation, outputs);
             }
             return;
         }
@@ -274,7 +277,7 @@
                 incarnation,
                 sequence,
             };
-            self.spread(now, body, outputs);
+            self.gossip_to_random_peers(now, body, outputs);
         }
     }
 
@@ -322,9 +325,9 @@
         if self.sync.configuration().version == before {
             return;
         }
-        if let Some(news) = self.sync.changes_since(before) {
-            if news.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
-                self.spread(now, Body::Changes(news), outputs);
+        if let Some(update) = self.sync.changes_since(before) {
+            if update.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
+                self.gossip_to_random_peers(now, Body::Changes(update), outputs);
             }
         }
     }
@@ -336,17 +339,17 @@
         source: SocketAddr,
         outputs: &mut Vec<ControlOutput>,
     ) {
-        let asked_lately = self
-            .asked
+        let recently_asked = self
+            .member_asked_at
             .get(&node)
-            .is_some_and(|at| now.since(*at) < ASK_AGAIN);
-        if !asked_lately && self.send(now, source, Body::AskMember(node), outputs) {
-            self.asked.insert(node, now);
+            .is_some_and(|at| now.since(*at) < MIN_MEMBER_ASK_INTERVAL);
+        if !recently_asked && self.send(now, source, Body::AskMember(node), outputs) {
+            self.member_asked_at.insert(node, now);
         }
     }
 
-    /// Asks a peer that is ahead for the changes; for the whole configuration
-    /// where there is none yet or the changes do not come.
+    /// Asks a peer with a newer configuration for the changes. Fetches the whole configuration from
+    /// it instead if there is none yet or requests for changes remain unanswered.
     fn catch_up(
         &mut self,
         now: Time,
@@ -356,7 +359,7 @@
     ) {
         match self.members.get(sender) {
             Some(member) if self.sync.needs_snapshot() => {
-                if self.sync.may_fetch(now) {
+                if self.sync.may_fetch_snapshot(now) {
                     outputs.push(ControlOutput::FetchSnapshot(member.information.operator));
                 }
             }
@@ -365,25 +368,27 @@
     }
 
     fn ask_changes(&mut self, now: Time, source: SocketAddr, outputs: &mut Vec<ControlOutput>) {
-        if self.sync.may_ask(now) {
+        if self.sync.may_ask_changes(now) {
             let base = self.sync.configuration().version;
             self.send(now, source, Body::AskChanges { base }, outputs);
         }
     }
 
-    fn ask_anyone(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
+    fn refresh_configuration(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
         outputs.push(ControlOutput::ReadHead);
-        let partner = self.members.draw_partner(&self.own.zone, &mut self.random);
+        let partner = self
+            .members
+            .random_gossip_partner(&self.own.zone, &mut self.random);
         if let Some(member) = partner.and_then(|node| self.members.get(node)) {
             let target = member.information.gossip;
             self.ask_changes(now, target, outputs);
         }
     }
 
-    /// Passes news on to a few random peers.
-    fn spread(&mut self, now: Time, body: Body, outputs: &mut Vec<ControlOutput>) {
-        for _ in 0..NEWS_FANOUT {
-            if let Some(target) = self.members.draw(&mut self.random) {
+    /// Sends an update to a few random peers.
+    fn gossip_to_random_peers(&mut self, now: Time, body: Body, outputs: &mut Vec<ControlOutput>) {
+        for _ in 0..GOSSIP_FANOUT {
+            if let Some(target) = self.members.random_member(&mut self.random) {
                 self.send_to_member(now, target, body.clone(), outputs);
             }
         }
@@ -421,7 +426,7 @@
         let Ok(encoded) = stacktack_wire::codec::encode(&datagram) else {
             return false;
         };
-        if !self.budget.send(now, encoded.len() + DATAGRAM_HEADER) {
+        if !self.budget.try_send(now, encoded.len() + DATAGRAM_HEADER) {
             return false;
         }
         outputs.push(ControlOutput::Send { target, datagram });
--- a/crates/stacktack-core/src/control/rounds.rs
+++ b/crates/stacktack-core/src/control/rounds.rs
@@ -1,11 +1,12 @@
-//! What the control state does in each round: gossip, pings, polls.
+//! Periodic work of the control state: gossip, pings and polls of the platform.
 
 use rand::RngExt;
 use stacktack_wire::gossip::{Body, Heartbeat, DATAGRAM_HEADER, MAXIMUM_DATAGRAM};
 
 use super::{
-    detector, Control, ControlOutput, ASK_AGAIN, ENVELOPE_BYTES, FLEET_READS_PER_SECOND,
-    HEARTBEAT_BYTES, HEARTBEAT_SHARE, INTRODUCTION_ROUNDS, ROUND,
+    detector, Control, ControlOutput, ENVELOPE_BYTES, FLEET_READS_PER_SECOND,
+    HEARTBEAT_BUDGET_SHARE, INTRODUCTION_ROUNDS, MAX_HEARTBEAT_BYTES, MIN_MEMBER_ASK_INTERVAL,
+    ROUND_INTERVAL,
 };
 use crate::time::Time;
 
@@ -15,46 +16,51 @@
         if now < self.next_round {
             return;
         }
-        self.next_round = now + ROUND;
+        self.next_round = now + ROUND_INTERVAL;
         self.rounds += 1;
-        self.members.forget_dead(now);
-        self.asked.retain(|_, at| now.since(*at) < ASK_AGAIN);
+        self.members.remove_expired(now);
+        self.member_asked_at
+            .retain(|_, at| now.since(*at) < MIN_MEMBER_ASK_INTERVAL);
         self.sequence += 1;
         self.gossip(now, outputs);
         if self.rounds.is_multiple_of(2) {
-            self.ping_one(now, outputs);
+            self.ping_random_member(now, outputs);
             self.poll_platform(outputs);
         }
     }
 
     fn gossip(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
-        let Some(partner) = self.members.draw_partner(&self.own.zone, &mut self.random) else {
+        let Some(partner) = self
+            .members
+            .random_gossip_partner(&self.own.zone, &mut self.random)
+        else {
             return;
         };
         if self.rounds <= INTRODUCTION_ROUNDS {
             let introduction = Body::Introduce(self.own.clone());
             self.send_to_member(now, partner, introduction, outputs);
         }
-        let heartbeats = self.freshest(now);
+        let heartbeats = self.freshest_heartbeats(now);
         self.send_to_member(now, partner, Body::Heartbeats(heartbeats), outputs);
     }
 
-    /// The own heartbeat and the freshest others that the round's share of the
-    /// budget carries.
-    fn freshest(&mut self, now: Time) -> Vec<Heartbeat> {
-        let share = self.budget.available(now) as f64 * HEARTBEAT_SHARE;
+    /// The own heartbeat, followed by the freshest heartbeats of members that are not suspected, as
+    /// many as fit this round's share of the byte budget.
+    fn freshest_heartbeats(&mut self, now: Time) -> Vec<Heartbeat> {
+        let share = self.budget.available(now) as f64 * HEARTBEAT_BUDGET_SHARE;
         let bytes = (share as usize).min(MAXIMUM_DATAGRAM);
-        let room = bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER) / HEARTBEAT_BYTES;
+        let max_others =
+            bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER) / MAX_HEARTBEAT_BYTES;
         let mut others: Vec<(Time, Heartbeat)> = self
             .members
             .iter()
             .filter(|(_, member)| member.heartbeat.sequence > 0 && member.suspected_at.is_none())
-            .map(|(_, member)| (member.heard_at, member.heartbeat))
+            .map(|(_, member)| (member.heartbeat_at, member.heartbeat))
             .collect();
         others.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
         let aged = others
             .into_iter()
-            .take(room)
+            .take(max_others)
             .map(|(at, heartbeat)| Heartbeat {
                 age_ms: now.since(at).as_millis() as u32,
                 ..heartbeat
@@ -75,8 +81,8 @@
         }
     }
 
-    fn ping_one(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
-        let Some(target) = self.members.draw(&mut self.random) else {
+    fn ping_random_member(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
+        let Some(target) = self.members.random_member(&mut self.random) else {
             return;
         };
         let body = self.detector.ping(now, target);
@@ -84,15 +90,17 @@
     }
 
     fn check_pings(&mut self, now: Time, outputs: &mut Vec<ControlOutput>) {
-        for (target, body) in self.detector.indirect_due(now) {
+        for (target, body) in self.detector.take_due_indirect_pings(now) {
             for _ in 0..detector::INDIRECT_PINGS {
-                let helper = self.members.draw_partner(&self.own.zone, &mut self.random);
+                let helper = self
+                    .members
+                    .random_gossip_partner(&self.own.zone, &mut self.random);
                 if let Some(helper) = helper.filter(|helper| *helper != target) {
                     self.send_to_member(now, helper, body.clone(), outputs);
                 }
             }
         }
-        for target in self.detector.failed(now) {
+        for target in self.detector.take_failed(now) {
             let Some(member) = self.members.get(target) else {
                 continue;
             };
@@ -105,15 +113,16 @@
         }
     }
 
-    /// Each process reads with a chance that keeps the fleet's reads constant.
+    /// Reads rows of the platform's table with a probability that keeps the read rate of the whole
+    /// fleet constant. A process without a configuration always reads the head row.
     fn poll_platform(&mut self, outputs: &mut Vec<ControlOutput>) {
-        let fleet = (self.members.len() + 1) as f64;
-        let chance = (FLEET_READS_PER_SECOND / fleet).min(1.0);
-        let fresh = self.sync.configuration().version.0 == 0;
-        if fresh || self.random.random_bool(chance) {
+        let fleet_size = (self.members.len() + 1) as f64;
+        let probability = (FLEET_READS_PER_SECOND / fleet_size).min(1.0);
+        let uninitialized = self.sync.configuration().version.0 == 0;
+        if uninitialized || self.random.random_bool(probability) {
             outputs.push(ControlOutput::ReadHead);
         }
-        if self.random.random_bool(chance) {
+        if self.random.random_bool(probability) {
             outputs.push(ControlOutput::ReadLeavingMachines);
         }
     }
--- a/crates/stacktack-core/src/control/sync.rs
+++ b/crates/stacktack-core/src/control/sync.rs
@@ -1,4 +1,4 @@
-//! Keeping the configuration up to date; versions only rise.
+//! Keeps the configuration of a process up to date; its version only increases.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,44 +14,44 @@
 use crate::protection::{Protections, Rule};
 use crate::time::Time;
 
-/// Changes kept to bring others up to date.
-const CHANGES_KEPT: usize = 64;
+/// Maximum number of changes kept to bring peers up to date.
+const MAX_KEPT_CHANGES: usize = 64;
 
-/// Pause between questions for changes.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum time between two requests for changes.
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Questions without an answer after which a whole configuration is fetched.
-const ASKS_IN_VAIN: u32 = 5;
+/// Number of unanswered requests for changes after which the whole configuration is fetched.
+const MAX_UNANSWERED_ASKS: u32 = 5;
 
-/// Pause between fetches of a whole configuration.
-const FETCH_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum time between two fetches of the whole configuration.
+const MIN_FETCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which a read that was not answered may be made again.
-const READ_PAUSE: Duration = Duration::from_secs(2);
+/// Time after which a read without a reply may be repeated.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The configuration in force and the changes that led to it.
+/// The configuration in force and the latest changes that led to it.
 #[derive(Debug)]
 pub struct ConfigurationSync {
     configuration: Arc<Configuration>,
     changes: VecDeque<Change>,
     protections: Protections,
     asked_at: Option<Time>,
-    asked_in_vain: u32,
+    unanswered_asks: u32,
     fetched_at: Option<Time>,
-    read_at: Option<Time>,
+    read_started_at: Option<Time>,
 }
 
 impl ConfigurationSync {
-    /// Without a configuration.
+    /// Starts with the empty configuration.
     pub fn new(protections: Protections) -> Self {
         ConfigurationSync {
             configuration: Configuration::empty(),
             changes: VecDeque::new(),
             protections,
             asked_at: None,
-            asked_in_vain: 0,
+            unanswered_asks: 0,
             fetched_at: None,
-            read_at: None,
+            read_started_at: None,
         }
     }
 
@@ -60,25 +60,26 @@
         &self.configuration
     }
 
-    /// Whether a question for changes may go out; counts it as asked.
-    pub fn may_ask(&mut self, now: Time) -> bool {
-        let allowed = pass_pause(&mut self.asked_at, now, ASK_PAUSE);
-        self.asked_in_vain += u32::from(allowed);
+    /// Whether changes may be requested now; if so, the request counts as sent.
+    pub fn may_ask_changes(&mut self, now: Time) -> bool {
+        let allowed = try_start_interval(&mut self.asked_at, now, MIN_ASK_INTERVAL);
+        self.unanswered_asks += u32::from(allowed);
         allowed
     }
 
-    /// Whether changes will not do: there is no configuration to change, or
-    /// peers do not have the changes any more.
+    /// Whether a snapshot is needed: there is no configuration that changes could apply to, or peers
+    /// no longer have the changes.
     pub fn needs_snapshot(&self) -> bool {
-        self.configuration.version.0 == 0 || self.asked_in_vain >= ASKS_IN_VAIN
+        self.configuration.version.0 == 0 || self.unanswered_asks >= MAX_UNANSWERED_ASKS
     }
 
-    /// Whether a whole configuration may be fetched; counts it as fetched.
-    pub fn may_fetch(&mut self, now: Time) -> bool {
-        pass_pause(&mut self.fetched_at, now, FETCH_PAUSE)
+    /// Whether the whole configuration may be fetched now; if so, the fetch counts as started.
+    pub fn may_fetch_snapshot(&mut self, now: Time) -> bool {
+        try_start_interval(&mut self.fetched_at, now, MIN_FETCH_INTERVAL)
     }
 
-    /// Changes behind a version; none when they are not kept.
+    /// Changes from version `base` to the current one; none if they are no longer kept or `base` is
+    /// current.
     pub fn changes_since(&self, base: ConfigurationVersion) -> Option<EncodedChanges> {
         let missing: Vec<Change> = self
             .changes
@@ -93,14 +94,17 @@
         encode(&missing)
     }
 
-    /// The head of the configuration as read from the table.
+    /// Handles the head row as read from the table: if it is newer, reads its snapshot if that is
+    /// newer too, otherwise the changes.
     pub fn on_head(&mut self, now: Time, head: HeadRow, outputs: &mut Vec<ControlOutput>) {
         let held = self.configuration.version;
-        let reading = self.read_at.is_some_and(|at| now.since(at) < READ_PAUSE);
+        let reading = self
+            .read_started_at
+            .is_some_and(|at| now.since(at) < READ_TIMEOUT);
         if head.version <= held || reading {
             return;
         }
-        self.read_at = Some(now);
+        self.read_started_at = Some(now);
         let snapshot = head.snapshot.filter(|snapshot| snapshot.version > held);
         outputs.push(match snapshot {
             Some(snapshot) => ControlOutput::ReadSnapshot(snapshot),
@@ -111,26 +115,26 @@
         });
     }
 
-    /// A snapshot as read from the object store.
+    /// Handles a snapshot from the object store or a peer.
     pub fn on_snapshot(&mut self, configuration: Configuration, outputs: &mut Vec<ControlOutput>) {
-        self.read_at = None;
+        self.read_started_at = None;
         let rises = configuration.version > self.configuration.version;
         if !rises && self.protections.hold(Rule::VersionRise) {
             return;
         }
         self.changes.clear();
-        self.put_in_force(configuration, Vec::new(), outputs);
+        self.apply(configuration, Vec::new(), outputs);
         outputs.push(ControlOutput::ReadHead);
     }
 
-    /// A read got no answer.
+    /// Handles a failed read: the next one may start at once.
     pub fn on_read_failed(&mut self) {
-        self.read_at = None;
+        self.read_started_at = None;
     }
 
-    /// Changes from the table, a peer or an agent.
+    /// Handles changes from the table, a peer or an agent.
     pub fn on_changes(&mut self, encoded: &EncodedChanges, outputs: &mut Vec<ControlOutput>) {
-        self.read_at = None;
+        self.read_started_at = None;
         let rising = self.protections.hold(Rule::VersionRise);
         if rising && encoded.target <= self.configuration.version {
             return;
@@ -141,24 +145,24 @@
                     return;
                 }
                 self.asked_at = None;
-                self.put_in_force(configuration, changes, outputs);
+                self.apply(configuration, changes, outputs);
             }
             Err(error) => {
-                log::debug!(target: "control", "changes are passed over: {error}");
+                log::debug!(target: "control", "changes are ignored: {error}");
             }
         }
     }
 
-    fn put_in_force(
+    fn apply(
         &mut self,
         configuration: Configuration,
         changes: Vec<Change>,
         outputs: &mut Vec<ControlOutput>,
     ) {
         self.configuration = Arc::new(configuration);
-        self.asked_in_vain = 0;
+        self.unanswered_asks = 0;
         self.changes.extend(changes.iter().cloned());
-        while self.changes.len() > CHANGES_KEPT {
+        while self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
         outputs.push(ControlOutput::Configuration {
@@ -168,11 +172,11 @@
     }
 }
 
-/// Whether the pause since `last` is over; if so, a new one begins.
-fn pass_pause(last: &mut Option<Time>, now: Time, pause: Duration) -> bool {
-    let over = last.is_none_or(|at| now.since(at) >= pause);
-    if over {
-        *last = Some(now);
+/// Whether `interval` has elapsed since `started_at`; if so, a new interval starts.
+fn try_start_interval(started_at: &mut Option<Time>, now: Time, interval: Duration) -> bool {
+    let elapsed = started_at.is_none_or(|at| now.since(at) >= interval);
+    if elapsed {
+        *started_at = Some(now);
     }
-    over
+    elapsed
 }
--- a/crates/stacktack-core/src/dispatch/view.rs
+++ b/crates/stacktack-core/src/dispatch/view.rs
@@ -49,7 +49,7 @@
 impl AgentView {
     fn of(member: &Member) -> Self {
         let heartbeat = &member.heartbeat;
-        let load = (f64::from(heartbeat.load), member.heard_at);
+        let load = (f64::from(heartbeat.load), member.heartbeat_at);
         AgentView {
             address: member.information.address,
             suspected: member.suspected_at.is_some(),
