--- a/crates/stacktack-agent/src/app.rs
+++ b/crates/stacktack-agent/src/app.rs
@@ -13,8 +13,8 @@
 use stacktack_core::protection::Protections;
 use stacktack_node::client::{Machine, PlatformClient, Role};
 use stacktack_node::clock::ProcessClock;
-use stacktack_node::control::{draw_incarnation, member_of, ControlHandle, ControlObserver};
-use stacktack_node::http::{listen, listen_datagrams, serve, ListenError};
+use stacktack_node::control::{member_of, new_incarnation, ControlHandle, ControlObserver};
+use stacktack_node::http::{bind_datagram_socket, listen, serve, ListenError};
 use stacktack_node::logging;
 use stacktack_node::metrics::{Metrics, MetricsError};
 use stacktack_node::settings::EXIT_FAILURE;
@@ -69,11 +69,11 @@
 
 async fn run(settings: AgentSettings) -> Result<(), AgentError> {
     let clock = ProcessClock::start();
-    let incarnation = draw_incarnation();
+    let incarnation = new_incarnation();
     let mut stop_signals = StopSignals::catch()?;
     let listener = listen("listen", settings.listen)?;
     let operator_listener = listen("operator", settings.operator)?;
-    let socket = listen_datagrams("gossip", settings.gossip)?;
+    let socket = bind_datagram_socket("gossip", settings.gossip)?;
     let state = Arc::new(TrafficState::default());
     let (commands, receiver) = unbounded_channel();
     let metrics = Metrics::new()?;
@@ -191,7 +191,7 @@
         self.send(TrafficCommand::PeerLoads(loads));
     }
 
-    fn on_leave(&self) {
+    fn on_own_machine_leaving(&self) {
         self.send(TrafficCommand::Drain(true));
     }
 
--- a/crates/stacktack-agent/src/operator.rs
+++ b/crates/stacktack-agent/src/operator.rs
@@ -10,9 +10,9 @@
 use stacktack_core::gate::GateCounters;
 use stacktack_core::problem::{Kind, Outcome};
 use stacktack_node::control::{
-    hand_out_configuration, take_changes, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
+    receive_changes, serve_configuration, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
 };
-use stacktack_node::http::{json_reply, problem_reply, text_reply};
+use stacktack_node::http::{json_response, problem_response, text_response};
 use stacktack_node::metrics::Metrics;
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -58,28 +58,28 @@
     /// Answers one call.
     pub async fn answer(self: Rc<Self>, request: Request) -> Response<BoxBody> {
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
-            return take_changes(&self.control, request).await;
+            return receive_changes(&self.control, request).await;
         }
         match (request.method(), request.path()) {
-            (&Method::GET, CONFIGURATION_PATH) => hand_out_configuration(&self.control),
-            (&Method::GET, "/healthz") => text_reply(StatusCode::OK, String::from("ok\n")),
+            (&Method::GET, CONFIGURATION_PATH) => serve_configuration(&self.control),
+            (&Method::GET, "/healthz") => text_response(StatusCode::OK, String::from("ok\n")),
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => match self.metrics.render() {
-                Ok(text) => text_reply(StatusCode::OK, text),
-                Err(error) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+                Ok(text) => text_response(StatusCode::OK, text),
+                Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
             },
-            (&Method::GET, "/status") => json_reply(StatusCode::OK, &self.status()),
+            (&Method::GET, "/status") => json_response(StatusCode::OK, &self.status()),
             (&Method::POST, "/drain") => self.drain(true),
             (&Method::POST, "/undrain") => self.drain(false),
-            (_, path) => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+            (_, path) => problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
         }
     }
 
     fn readiness(&self) -> Response<BoxBody> {
         if self.state.version() == 0 || self.state.draining() {
-            text_reply(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
         } else {
-            text_reply(StatusCode::OK, String::from("ready\n"))
+            text_response(StatusCode::OK, String::from("ready\n"))
         }
     }
 
@@ -116,10 +116,10 @@
     fn drain(&self, draining: bool) -> Response<BoxBody> {
         if self.commands.send(TrafficCommand::Drain(draining)).is_err() {
             let problem = Kind::NotReady.problem(Outcome::NotRun, "the traffic thread is gone");
-            return problem_reply(&problem);
+            return problem_response(&problem);
         }
         log::info!(target: "operator", "draining is set to {draining}");
-        json_reply(StatusCode::OK, &draining)
+        json_response(StatusCode::OK, &draining)
     }
 }
 
--- a/crates/stacktack-core/src/control/mod.rs
+++ b/crates/stacktack-core/src/control/mod.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_wire::gossip::{
-    Body, Datagram, Heartbeat, MemberInformation, DATAGRAM_HEADER, MAXIMUM_DATAGRAM,
+    Body, Datagram, Heartbeat, MemberInformation, DATAGRAM_HEADER_BYTES, MAX_DATAGRAM_BYTES,
 };
 use stacktack_wire::identity::{ConfigurationVersion, Incarnation, NodeId};
 use stacktack_wire::message::EncodedChanges;
@@ -138,7 +138,7 @@
                 bytes,
                 datagram,
             } => {
-                self.budget.receive(now, bytes + DATAGRAM_HEADER);
+                self.budget.receive(now, bytes + DATAGRAM_HEADER_BYTES);
                 self.on_datagram(now, source, *datagram, outputs);
             }
             ControlInput::Machines(machines) => self.on_machines(now, machines),
@@ -306,7 +306,7 @@
         let Some(changes) = self.sync.changes_since(base) else {
             return;
         };
-        if changes.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
+        if changes.bytes.len() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES {
             self.send(now, source, Body::Changes(changes), outputs);
         }
     }
@@ -323,7 +323,7 @@
             return;
         }
         if let Some(news) = self.sync.changes_since(before) {
-            if news.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
+            if news.bytes.len() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES {
                 self.spread(now, Body::Changes(news), outputs);
             }
         }
@@ -421,7 +421,7 @@
         let Ok(encoded) = stacktack_wire::codec::encode(&datagram) else {
             return false;
         };
-        if !self.budget.send(now, encoded.len() + DATAGRAM_HEADER) {
+        if !self.budget.send(now, encoded.len() + DATAGRAM_HEADER_BYTES) {
             return false;
         }
         outputs.push(ControlOutput::Send { target, datagram });
--- a/crates/stacktack-core/src/control/rounds.rs
+++ b/crates/stacktack-core/src/control/rounds.rs
@@ -1,7 +1,7 @@
 //! What the control state does in each round: gossip, pings, polls.
 
 use rand::RngExt;
-use stacktack_wire::gossip::{Body, Heartbeat, DATAGRAM_HEADER, MAXIMUM_DATAGRAM};
+use stacktack_wire::gossip::{Body, Heartbeat, DATAGRAM_HEADER_BYTES, MAX_DATAGRAM_BYTES};
 
 use super::{
     detector, Control, ControlOutput, ASK_AGAIN, ENVELOPE_BYTES, FLEET_READS_PER_SECOND,
@@ -43,8 +43,8 @@
     /// budget carries.
     fn freshest(&mut self, now: Time) -> Vec<Heartbeat> {
         let share = self.budget.available(now) as f64 * HEARTBEAT_SHARE;
-        let bytes = (share as usize).min(MAXIMUM_DATAGRAM);
-        let room = bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER) / HEARTBEAT_BYTES;
+        let bytes = (share as usize).min(MAX_DATAGRAM_BYTES);
+        let room = bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER_BYTES) / HEARTBEAT_BYTES;
         let mut others: Vec<(Time, Heartbeat)> = self
             .members
             .iter()
--- a/crates/stacktack-ctl/src/app.rs
+++ b/crates/stacktack-ctl/src/app.rs
@@ -5,8 +5,8 @@
 use stacktack_node::client::PlatformClient;
 use stacktack_node::settings::{read_or_exit, Flag, Settings};
 
-use crate::account::account;
 use crate::commands::{self, Context};
+use crate::explanation::explain_request;
 use crate::output::{CommandError, EXIT_DONE};
 
 const FLAGS: &[Flag] = &[
@@ -50,7 +50,7 @@
 /// Runs the command line; returns its exit code.
 pub fn main() -> i32 {
     let mut settings = read_or_exit("stacktack-ctl", SUMMARY, FLAGS);
-    let arguments = std::mem::take(&mut settings.free);
+    let arguments = std::mem::take(&mut settings.positional_arguments);
     if let [command, id, files @ ..] = arguments.as_slice() {
         if command == "explain-log" {
             return finish(explain_log(id, files));
@@ -91,9 +91,9 @@
         })?;
         text.push_str(&String::from_utf8_lossy(&bytes));
     }
-    let account =
-        account(id, text.lines()).ok_or_else(|| CommandError::NotLogged(id.to_owned()))?;
-    println!("{account}");
+    let explanation =
+        explain_request(id, text.lines()).ok_or_else(|| CommandError::NotLogged(id.to_owned()))?;
+    println!("{explanation}");
     Ok(())
 }
 
--- a/crates/stacktack-ctl/src/commands.rs
+++ b/crates/stacktack-ctl/src/commands.rs
@@ -7,7 +7,7 @@
 use stacktack_core::configuration::validation::parse;
 use stacktack_core::dispatch::record::{DecisionRecord, RequestRecord};
 use stacktack_node::client::{Machine, PlatformClient, PlatformError};
-use stacktack_node::configuration_store::{apply_document, read_chain, read_head};
+use stacktack_node::configuration_store::{apply_document, read_changes, read_head};
 use stacktack_wire::identity::{ConfigurationVersion, NodeId};
 
 use crate::output::CommandError;
@@ -154,7 +154,7 @@
         println!("no change was accepted yet");
         return Ok(());
     };
-    let chain = read_chain(&context.platform, ConfigurationVersion(0), row.change_id).await?;
+    let chain = read_changes(&context.platform, ConfigurationVersion(0), row.change_id).await?;
     let bytes = chain.map(|chain| chain.bytes).unwrap_or_default();
     let changes: Vec<Change> = serde_json::from_slice(&bytes).map_err(PlatformError::from)?;
     if context.json {
--- a/crates/stacktack-ctl/src/account.rs
+++ b/crates/stacktack-ctl/src/explanation.rs
@@ -22,7 +22,7 @@
     /// What stood before the time; the machine's name comes last.
     pub origin: String,
     /// The part that wrote it.
-    pub part: String,
+    pub target: String,
     /// Its fields as written.
     pub text: String,
     fields: BTreeMap<String, String>,
@@ -43,7 +43,7 @@
         Some(LogLine {
             time: words[at].to_owned(),
             origin: words[..at].last().copied().unwrap_or("-").to_owned(),
-            part: part.to_owned(),
+            target: part.to_owned(),
             text: rest.join(" "),
             fields,
         })
@@ -62,7 +62,7 @@
 
 /// What the logs tell of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Account {
+pub struct Explanation {
     /// What was believed before, and what happened, in the order of time.
     pub lines: Vec<LogLine>,
     /// The cause in a sentence.
@@ -70,7 +70,7 @@
 }
 
 /// Joins the lines about a request; `None` when no line names it.
-pub fn account<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Option<Account> {
+pub fn explain_request<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Option<Explanation> {
     let parsed: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
     let own: Vec<&LogLine> = parsed
         .iter()
@@ -84,13 +84,13 @@
         if line.time.as_str() > end || !origins.contains(&line.origin.as_str()) {
             continue;
         }
-        let belief = BELIEF_PARTS.contains(&line.part.as_str())
+        let belief = BELIEF_PARTS.contains(&line.target.as_str())
             && back_ends.contains(&line.field("back_end"));
-        let process = PROCESS_PARTS.contains(&line.part.as_str());
+        let process = PROCESS_PARTS.contains(&line.target.as_str());
         if belief || process {
             let key = (
                 &line.origin,
-                &line.part,
+                &line.target,
                 line.field("back_end"),
                 line.field("name"),
             );
@@ -103,17 +103,17 @@
         .cloned()
         .collect();
     joined.sort_by(|a, b| a.time.cmp(&b.time));
-    Some(Account {
+    Some(Explanation {
         cause: cause(&own),
         lines: joined,
     })
 }
 
 fn cause(own: &[&LogLine]) -> String {
-    let Some(end) = own.iter().rfind(|line| line.part == "request") else {
+    let Some(end) = own.iter().rfind(|line| line.target == "request") else {
         return "the request has not ended within these logs".to_owned();
     };
-    let attempt = own.iter().rfind(|line| line.part == "attempt");
+    let attempt = own.iter().rfind(|line| line.target == "attempt");
     let met = attempt.map_or_else(
         || format!("back end {}", end.field("back_ends")),
         |attempt| {
@@ -126,7 +126,7 @@
     );
     let denied = own
         .iter()
-        .any(|line| line.part == "retry" && line.field("allowed") == "false");
+        .any(|line| line.target == "retry" && line.field("allowed") == "false");
     let budget = if denied {
         "; the retry budget was spent"
     } else {
@@ -158,7 +158,7 @@
 
 /// What the router knew of its pool's room when it refused.
 fn no_room(own: &[&LogLine]) -> String {
-    let Some(refused) = own.iter().rfind(|line| line.part == "admission") else {
+    let Some(refused) = own.iter().rfind(|line| line.target == "admission") else {
         return "its pool was full".to_owned();
     };
     let pool = refused.field("pool");
@@ -186,17 +186,17 @@
     format!("{why}{again}")
 }
 
-impl fmt::Display for Account {
+impl fmt::Display for Explanation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             let LogLine {
                 time,
                 origin,
-                part,
+                target,
                 text,
                 ..
             } = line;
-            writeln!(formatter, "{time} {origin} {part}: {text}")?;
+            writeln!(formatter, "{time} {origin} {target}: {text}")?;
         }
         write!(formatter, "cause: {}", self.cause)
     }
--- a/crates/stacktack-ctl/src/lib.rs
+++ b/crates/stacktack-ctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' command line of stacktack.
 
-pub mod account;
 pub mod app;
 mod commands;
+pub mod explanation;
 mod output;
--- a/crates/stacktack-ctl/tests/account.rs
+++ b/crates/stacktack-ctl/tests/explanation.rs
@@ -1,7 +1,7 @@
 //! Accounts of failed requests from logs.
 
 use expect_test::expect;
-use stacktack_ctl::account::account;
+use stacktack_ctl::explanation::explain_request;
 
 const LOG: &str = "\
 8.9 front-b 2026-04-27T14:24:07.100Z INFO directory: back_end=i-2 now=joined revision=3
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_account_joins_what_was_believed_and_what_happened() {
-    let account = account("aa", LOG.lines()).expect("known");
+    let explanation = explain_request("aa", LOG.lines()).expect("known");
     expect![[r#"
         2026-04-27T14:24:07.200Z front-a configuration: version=9 before=6 routes=17 adopted=true
         2026-04-27T14:24:07.300Z front-a belief: back_end=i-1 ejected=true cause=unreachable
@@ -33,12 +33,12 @@
         2026-04-27T14:24:08.150Z front-a attempt: id=aa back_end=i-1 end=broken sends=1 ms=50
         2026-04-27T14:24:08.151Z front-a request: id=aa route=r config=9 back_ends=i-1 outcome=lost status=0 ms=51
         cause: it may have run and its answer is lost: back end i-1 ended its attempt as broken"#]]
-    .assert_eq(&account.to_string());
+    .assert_eq(&explanation.to_string());
 }
 
 #[test]
 fn causes_name_the_version_or_say_what_is_missing() {
-    let cause = |id| account(id, LOG.lines()).map(|account| account.cause);
+    let cause = |id| explain_request(id, LOG.lines()).map(|explanation| explanation.cause);
     expect!["configuration 9 does not know its key"].assert_eq(&cause("bb").expect("known"));
     expect!["the request has not ended within these logs"].assert_eq(&cause("cc").expect("known"));
     expect!["not run: pool p was full: the best back end i-3 had 19.0 requests of 17.4"]
--- a/crates/stacktack-direct/src/clock.rs
+++ b/crates/stacktack-direct/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stacktack_node::clock::Reading;
+use stacktack_node::clock::ClockReading;
 use tokio::time::Instant;
 
 /// Minimum growth of the difference between the two clocks that counts as a suspension: well above
@@ -13,7 +13,7 @@
 /// Source of clock readings.
 pub trait Clock {
     /// Reads both clocks.
-    fn read(&self) -> Reading;
+    fn read(&self) -> ClockReading;
 }
 
 /// The clocks of the machine.
@@ -21,8 +21,8 @@
 pub struct SystemClock;
 
 impl Clock for SystemClock {
-    fn read(&self) -> Reading {
-        Reading::take()
+    fn read(&self) -> ClockReading {
+        ClockReading::now()
     }
 }
 
@@ -38,9 +38,9 @@
 }
 
 impl Clock for RuntimeClock {
-    fn read(&self) -> Reading {
+    fn read(&self) -> ClockReading {
         let elapsed = self.0.elapsed();
-        Reading {
+        ClockReading {
             elapsed,
             steady: elapsed,
         }
@@ -55,19 +55,19 @@
 }
 
 impl SuspensionDetector {
-    pub(crate) fn new(reading: &Reading) -> Self {
+    pub(crate) fn new(reading: &ClockReading) -> Self {
         SuspensionDetector {
-            detected: reading.suspended(),
+            detected: reading.suspended_time(),
         }
     }
 
     /// Time for which the machine was suspended since the last detected suspension, if it was.
-    pub(crate) fn detect(&mut self, reading: &Reading) -> Option<Duration> {
-        let suspended = reading.suspended().saturating_sub(self.detected);
+    pub(crate) fn detect(&mut self, reading: &ClockReading) -> Option<Duration> {
+        let suspended = reading.suspended_time().saturating_sub(self.detected);
         if suspended < MIN_SUSPENSION {
             return None;
         }
-        self.detected = reading.suspended();
+        self.detected = reading.suspended_time();
         Some(suspended)
     }
 }
--- a/crates/stacktack-direct/tests/suspension.rs
+++ b/crates/stacktack-direct/tests/suspension.rs
@@ -15,7 +15,7 @@
 use stacktack_direct::ports::{Directory, DirectoryUpdate, LocalBoxFuture, SourceError};
 use stacktack_direct::router::Router;
 use stacktack_direct::transfer::Transfer;
-use stacktack_node::clock::Reading;
+use stacktack_node::clock::ClockReading;
 use tokio::time::Instant;
 
 use common::{after, router, router_with};
@@ -40,9 +40,9 @@
 }
 
 impl Clock for SuspendableClock {
-    fn read(&self) -> Reading {
+    fn read(&self) -> ClockReading {
         let reading = self.runtime.read();
-        Reading {
+        ClockReading {
             elapsed: reading.elapsed + self.suspended.get(),
             ..reading
         }
--- a/crates/stacktack-lab/src/app.rs
+++ b/crates/stacktack-lab/src/app.rs
@@ -2,7 +2,7 @@
 
 use stacktack_core::protection::Rule;
 use stacktack_node::logging;
-use stacktack_node::settings::{read_or_exit, Flag, Settings, EXIT_FAILURE, EXIT_SETTINGS};
+use stacktack_node::settings::{read_or_exit, Flag, Settings, EXIT_FAILURE, EXIT_INVALID_SETTINGS};
 
 use crate::capacity;
 use crate::demo;
@@ -59,7 +59,7 @@
 /// Runs the lab; returns its exit code.
 pub fn main() -> i32 {
     let mut settings = read_or_exit("stacktack-lab", SUMMARY, FLAGS);
-    let arguments = std::mem::take(&mut settings.free);
+    let arguments = std::mem::take(&mut settings.positional_arguments);
     let options = Options::read(&mut settings);
     settings.check_or_exit();
     logging::start();
@@ -69,7 +69,7 @@
         Err(error) => {
             eprintln!("{error}");
             match error {
-                LabError::Usage(_) => EXIT_SETTINGS,
+                LabError::Usage(_) => EXIT_INVALID_SETTINGS,
                 _ => EXIT_FAILURE,
             }
         }
--- a/crates/stacktack-node/src/clock.rs
+++ b/crates/stacktack-node/src/clock.rs
@@ -12,18 +12,18 @@
 
 /// Two readings of one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct ClockReading {
     /// Time since some origin, that in which the machine was suspended included.
     pub elapsed: Duration,
     /// Time since some origin without that in which the machine was suspended.
     pub steady: Duration,
 }
 
-impl Reading {
+impl ClockReading {
     /// Reads the machine's clocks.
-    pub fn take() -> Self {
+    pub fn now() -> Self {
         let steady = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
-        Reading {
+        ClockReading {
             // Each kernel since 2.6.39 has it; without it suspensions are not seen.
             elapsed: read(ClockId::CLOCK_BOOTTIME).unwrap_or(steady),
             steady,
@@ -31,7 +31,7 @@
     }
 
     /// Time for which the machine was suspended, up to a constant.
-    pub fn suspended(&self) -> Duration {
+    pub fn suspended_time(&self) -> Duration {
         self.elapsed.saturating_sub(self.steady)
     }
 }
@@ -50,13 +50,13 @@
     /// A clock that begins now.
     pub fn start() -> Self {
         ProcessClock {
-            origin: Reading::take().elapsed,
+            origin: ClockReading::now().elapsed,
         }
     }
 
     /// The time.
     pub fn now(&self) -> Time {
-        let elapsed = Reading::take().elapsed.saturating_sub(self.origin);
+        let elapsed = ClockReading::now().elapsed.saturating_sub(self.origin);
         Time(elapsed.as_micros() as u64)
     }
 
--- a/crates/stacktack-node/src/configuration_store.rs
+++ b/crates/stacktack-node/src/configuration_store.rs
@@ -64,13 +64,13 @@
     };
     let head: HeadRow = serde_json::from_str(&row.value).map_err(PlatformError::from)?;
     let base = match &head.snapshot {
-        Some(snapshot) => read_object(platform, &snapshot.path()).await?.into(),
+        Some(snapshot) => read_snapshot(platform, &snapshot.path()).await?.into(),
         None => Configuration::default(),
     };
     let configuration = if base.version == head.version {
         base
     } else {
-        let chain = read_chain(platform, base.version, head.change_id.clone()).await?;
+        let chain = read_changes(platform, base.version, head.change_id.clone()).await?;
         let broken = || StoreError::Broken(head.change_id.clone());
         let changes = chain.ok_or_else(broken)?;
         let (configuration, _) = base.with_changes(&changes).map_err(|_| broken())?;
@@ -84,7 +84,7 @@
 }
 
 /// Reads a snapshot, from the object store or from a peer.
-pub async fn read_object(
+pub async fn read_snapshot(
     source: &PlatformClient,
     path: &str,
 ) -> Result<SnapshotObject, PlatformError> {
@@ -97,7 +97,7 @@
 
 /// Reads changes from the one at the head back to those behind `held`; none
 /// when a row is missing.
-pub async fn read_chain(
+pub async fn read_changes(
     platform: &PlatformClient,
     held: ConfigurationVersion,
     change_id: String,
--- a/crates/stacktack-node/src/control.rs
+++ b/crates/stacktack-node/src/control.rs
@@ -16,15 +16,15 @@
 use stacktack_core::control::{Control, ControlInput, ControlOutput};
 use stacktack_core::problem::{Kind, Outcome};
 use stacktack_wire::codec::{decode, encode as encode_message};
-use stacktack_wire::gossip::{Datagram, MemberInformation, MemberRole, MAXIMUM_DATAGRAM};
+use stacktack_wire::gossip::{Datagram, MemberInformation, MemberRole, MAX_DATAGRAM_BYTES};
 use stacktack_wire::identity::{ConfigurationVersion, Incarnation, NodeId};
 use stacktack_wire::message::EncodedChanges;
 use tokio::net::UdpSocket;
 
 use crate::client::{Machine, PlatformClient, Role};
 use crate::clock::ProcessClock;
-use crate::configuration_store::{read_chain, read_object};
-use crate::http::{json_reply, problem_reply, read_body};
+use crate::configuration_store::{read_changes, read_snapshot};
+use crate::http::{json_response, problem_response, read_body};
 
 /// Time between ticks of the control state.
 const TICK: Duration = Duration::from_millis(100);
@@ -53,14 +53,14 @@
     fn on_members(&self, control: &Control);
 
     /// The platform is about to take this machine away.
-    fn on_leave(&self);
+    fn on_own_machine_leaving(&self);
 
     /// Load divided by capacity and whether no new work is taken.
     fn own_state(&self) -> (f64, bool);
 }
 
 /// A life of a process, from the wall clock.
-pub fn draw_incarnation() -> Incarnation {
+pub fn new_incarnation() -> Incarnation {
     let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -152,7 +152,7 @@
             }
             ControlOutput::OwnMachineLeaving => {
                 log::info!(target: "control", "the platform is about to take this machine away");
-                self.inner.observer.on_leave();
+                self.inner.observer.on_own_machine_leaving();
             }
         }
     }
@@ -167,7 +167,7 @@
     }
 
     async fn receive(self) {
-        let mut buffer = [0; MAXIMUM_DATAGRAM + 256];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 256];
         loop {
             let Ok((bytes, source)) = self.inner.socket.recv_from(&mut buffer).await else {
                 continue;
@@ -263,7 +263,7 @@
     }
 
     async fn read_snapshot(self, snapshot: SnapshotReference) {
-        let input = match read_object(&self.inner.platform, &snapshot.path()).await {
+        let input = match read_snapshot(&self.inner.platform, &snapshot.path()).await {
             Ok(object) => ControlInput::Snapshot(Box::new(object.into())),
             Err(error) => {
                 log::warn!(target: "control", "snapshot {} was not read: {error}", snapshot.version);
@@ -275,7 +275,7 @@
 
     async fn fetch_snapshot(self, peer: SocketAddr) {
         let client = PlatformClient::new(peer);
-        match read_object(&client, CONFIGURATION_PATH).await {
+        match read_snapshot(&client, CONFIGURATION_PATH).await {
             Ok(object) => self.handle(ControlInput::Snapshot(Box::new(object.into()))),
             Err(error) => {
                 log::debug!(target: "control", "the peer {peer} handed out no configuration: {error}");
@@ -284,7 +284,7 @@
     }
 
     async fn read_changes(self, held: ConfigurationVersion, change_id: String) {
-        let input = match read_chain(&self.inner.platform, held, change_id).await {
+        let input = match read_changes(&self.inner.platform, held, change_id).await {
             Ok(Some(changes)) => ControlInput::Changes(changes),
             Ok(None) | Err(_) => ControlInput::ReadFailed,
         };
@@ -300,18 +300,18 @@
 
 /// Hands out the configuration in force, for a process that starts while the
 /// platform does not answer.
-pub fn hand_out_configuration(control: &ControlHandle) -> Response<BoxBody> {
+pub fn serve_configuration(control: &ControlHandle) -> Response<BoxBody> {
     let configuration = control.with(|control| control.configuration().clone());
     if configuration.version.0 == 0 {
         let problem = Kind::NotReady.problem(Outcome::NotRun, "no configuration yet");
-        return problem_reply(&problem);
+        return problem_response(&problem);
     }
     let object = SnapshotObject {
         version: configuration.version,
         change_id: String::new(),
         document: configuration.document.clone(),
     };
-    json_reply(StatusCode::OK, &object)
+    json_response(StatusCode::OK, &object)
 }
 
 /// Largest body of changes, in bytes.
@@ -323,20 +323,20 @@
 /// Takes accepted changes from an operator. They are put in force only if they
 /// follow the version held; others are passed over, and the process catches up
 /// by gossip or its next read of the head.
-pub async fn take_changes(control: &ControlHandle, mut request: Request) -> Response<BoxBody> {
+pub async fn receive_changes(control: &ControlHandle, mut request: Request) -> Response<BoxBody> {
     let body = match read_body(&mut request, MAXIMUM_CHANGES, CHANGES_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     match serde_json::from_slice::<EncodedChanges>(&body) {
         Ok(changes) => {
             control.handle(ControlInput::Changes(changes));
             let version = control.with(|control| control.configuration().version);
-            json_reply(StatusCode::OK, &version)
+            json_response(StatusCode::OK, &version)
         }
         Err(error) => {
             let problem = Kind::MalformedBody.problem(Outcome::NotRun, error.to_string());
-            problem_reply(&problem)
+            problem_response(&problem)
         }
     }
 }
--- a/crates/stacktack-node/src/http.rs
+++ b/crates/stacktack-node/src/http.rs
@@ -25,7 +25,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time that an idle connection is kept.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(75);
+pub const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// A server could not listen.
 #[derive(Debug, Error)]
@@ -55,7 +55,7 @@
 }
 
 /// Takes datagrams on an address that a flag named.
-pub fn listen_datagrams(
+pub fn bind_datagram_socket(
     flag: &'static str,
     address: SocketAddr,
 ) -> Result<std::net::UdpSocket, ListenError> {
@@ -94,7 +94,7 @@
         async move { Ok::<_, Infallible>(answer.await) }
     };
     let factory = HttpService::build()
-        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
+        .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
         .client_request_timeout(HEAD_TIMEOUT)
         .h1(call)
         .tcp();
@@ -157,7 +157,7 @@
 }
 
 /// A reply with a JSON body.
-pub fn json_reply(status: StatusCode, body: &impl Serialize) -> Response<BoxBody> {
+pub fn json_response(status: StatusCode, body: &impl Serialize) -> Response<BoxBody> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     Response::build(status)
         .insert_header(("content-type", "application/json"))
@@ -166,7 +166,7 @@
 }
 
 /// A reply with a text body.
-pub fn text_reply(status: StatusCode, body: String) -> Response<BoxBody> {
+pub fn text_response(status: StatusCode, body: String) -> Response<BoxBody> {
     Response::build(status)
         .insert_header(("content-type", "text/plain; version=0.0.4"))
         .body(body)
@@ -174,7 +174,7 @@
 }
 
 /// A problem reply, with `Retry-After` where the problem names a time.
-pub fn problem_reply(problem: &Problem) -> Response<BoxBody> {
+pub fn problem_response(problem: &Problem) -> Response<BoxBody> {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let bytes = serde_json::to_vec(problem).unwrap_or_default();
     let mut builder = Response::build(status);
@@ -203,7 +203,7 @@
 
 /// Receiving side of a streamed body.
 #[derive(Debug)]
-pub struct BodySource {
+pub struct BodyReceiver {
     parts: UnboundedReceiver<BodyPart>,
     waiting: Rc<Cell<usize>>,
 }
@@ -211,13 +211,13 @@
 /// The reader of a streamed body is gone.
 #[derive(Debug, Error)]
 #[error("the body's reader is gone")]
-pub struct ReaderGone;
+pub struct ReceiverDropped;
 
 /// Both sides of a streamed body, for one thread.
-pub fn body_channel() -> (BodySender, BodySource) {
+pub fn body_channel() -> (BodySender, BodyReceiver) {
     let (sender, receiver) = unbounded_channel();
     let waiting = Rc::new(Cell::new(0));
-    let source = BodySource {
+    let source = BodyReceiver {
         parts: receiver,
         waiting: waiting.clone(),
     };
@@ -230,19 +230,19 @@
 
 impl BodySender {
     /// Adds bytes.
-    pub fn send(&self, bytes: Bytes) -> Result<(), ReaderGone> {
+    pub fn send(&self, bytes: Bytes) -> Result<(), ReceiverDropped> {
         self.waiting.set(self.waiting.get() + bytes.len());
         let part = BodyPart::Bytes(bytes);
-        self.parts.send(part).map_err(|_| ReaderGone)
+        self.parts.send(part).map_err(|_| ReceiverDropped)
     }
 
     /// Ends the body.
-    pub fn end(self) -> Result<(), ReaderGone> {
-        self.parts.send(BodyPart::End).map_err(|_| ReaderGone)
+    pub fn end(self) -> Result<(), ReceiverDropped> {
+        self.parts.send(BodyPart::End).map_err(|_| ReceiverDropped)
     }
 
     /// Bytes that wait for a slow reader.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         self.waiting.get()
     }
 }
@@ -251,7 +251,7 @@
 /// channel closed before the end breaks the connection, so that a cut body is
 /// never taken for a whole one.
 pub struct ChannelBody {
-    source: BodySource,
+    source: BodyReceiver,
     ended: bool,
     on_drop: Option<Box<dyn FnOnce()>>,
 }
@@ -259,11 +259,11 @@
 /// The body's source went away before its end.
 #[derive(Debug, Error)]
 #[error("the body's source ended early")]
-pub struct BodyCut;
+pub struct BodyAborted;
 
 impl ChannelBody {
     /// A body with a call for when it is dropped before its end.
-    pub fn new(source: BodySource, on_drop: impl FnOnce() + 'static) -> Self {
+    pub fn new(source: BodyReceiver, on_drop: impl FnOnce() + 'static) -> Self {
         ChannelBody {
             source,
             ended: false,
@@ -281,7 +281,7 @@
 }
 
 impl MessageBody for ChannelBody {
-    type Error = BodyCut;
+    type Error = BodyAborted;
 
     fn size(&self) -> BodySize {
         BodySize::Stream
@@ -290,7 +290,7 @@
     fn poll_next(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BodyCut>>> {
+    ) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         let this = self.get_mut();
         if this.ended {
             return Poll::Ready(None);
@@ -306,7 +306,7 @@
                 this.ended = true;
                 Poll::Ready(None)
             }
-            Poll::Ready(None) => Poll::Ready(Some(Err(BodyCut))),
+            Poll::Ready(None) => Poll::Ready(Some(Err(BodyAborted))),
         }
     }
 }
--- a/crates/stacktack-node/src/settings.rs
+++ b/crates/stacktack-node/src/settings.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 /// Exit code for bad settings.
-pub const EXIT_SETTINGS: i32 = 2;
+pub const EXIT_INVALID_SETTINGS: i32 = 2;
 
 /// Exit code for a failure at work, such as a port in use.
 pub const EXIT_FAILURE: i32 = 1;
@@ -78,7 +78,7 @@
 
 /// One setting that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingFault {
+pub struct InvalidSetting {
     /// Flag as written on the command line.
     pub flag: String,
     /// The value given.
@@ -87,7 +87,7 @@
     pub allowed: String,
 }
 
-impl fmt::Display for SettingFault {
+impl fmt::Display for InvalidSetting {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -100,10 +100,10 @@
 /// Settings are not usable.
 #[derive(Debug, Error)]
 #[error("{}", lines(.0))]
-pub struct SettingsError(pub Vec<SettingFault>);
+pub struct SettingsError(pub Vec<InvalidSetting>);
 
-fn lines(faults: &[SettingFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(SettingFault::to_string).collect();
+fn lines(faults: &[InvalidSetting]) -> String {
+    let lines: Vec<String> = faults.iter().map(InvalidSetting::to_string).collect();
     lines.join("\n")
 }
 
@@ -120,9 +120,9 @@
 #[derive(Debug)]
 pub struct Settings {
     values: Vec<(&'static str, Option<String>)>,
-    faults: Vec<SettingFault>,
+    faults: Vec<InvalidSetting>,
     /// Arguments that are no flags.
-    pub free: Vec<String>,
+    pub positional_arguments: Vec<String>,
 }
 
 /// Reads a program's settings from arguments (without the program's name) and
@@ -136,7 +136,7 @@
 ) -> Result<Invocation, SettingsError> {
     let options = options_of(flags);
     let matches = options.parse(arguments).map_err(|error| {
-        SettingsError(vec![SettingFault {
+        SettingsError(vec![InvalidSetting {
             flag: program.to_string(),
             value: error.to_string(),
             allowed: String::from("--help lists the flags"),
@@ -164,7 +164,7 @@
     Ok(Invocation::Run(Settings {
         values,
         faults: Vec::new(),
-        free: matches.free,
+        positional_arguments: matches.free,
     }))
 }
 
@@ -183,10 +183,10 @@
     }
 }
 
-/// Prints the faults and exits with [`EXIT_SETTINGS`].
+/// Prints the faults and exits with [`EXIT_INVALID_SETTINGS`].
 pub fn exit_with(error: &SettingsError) -> ! {
     eprintln!("{error}");
-    std::process::exit(EXIT_SETTINGS);
+    std::process::exit(EXIT_INVALID_SETTINGS);
 }
 
 fn options_of(flags: &[Flag]) -> Options {
@@ -230,7 +230,7 @@
     }
 
     fn fault(&mut self, name: &str, value: &str, allowed: String) {
-        self.faults.push(SettingFault {
+        self.faults.push(InvalidSetting {
             flag: format!("--{name}"),
             value: value.to_string(),
             allowed,
@@ -336,9 +336,9 @@
 
     /// All faults so far, or nothing.
     pub fn check(&mut self) -> Result<(), SettingsError> {
-        let free = std::mem::take(&mut self.free);
-        for argument in &free {
-            self.faults.push(SettingFault {
+        let positional_arguments = std::mem::take(&mut self.positional_arguments);
+        for argument in &positional_arguments {
+            self.faults.push(InvalidSetting {
                 flag: argument.clone(),
                 value: String::from("an argument without a flag"),
                 allowed: String::from("--help lists the flags"),
--- a/crates/stacktack-node/tests/clock.rs
+++ b/crates/stacktack-node/tests/clock.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use stacktack_node::clock::{ProcessClock, Reading};
+use stacktack_node::clock::{ClockReading, ProcessClock};
 
 #[test]
 fn the_clock_that_counts_suspensions_is_never_behind_the_steady_one() {
-    let reading = Reading::take();
+    let reading = ClockReading::now();
     assert!(reading.steady > Duration::ZERO);
     assert!(reading.elapsed >= reading.steady);
-    let suspended = Reading {
+    let suspended = ClockReading {
         elapsed: reading.steady + Duration::from_secs(8),
         ..reading
     };
-    assert_eq!(suspended.suspended(), Duration::from_secs(8));
+    assert_eq!(suspended.suspended_time(), Duration::from_secs(8));
 }
 
 #[test]
--- a/crates/stacktack-router/src/app.rs
+++ b/crates/stacktack-router/src/app.rs
@@ -18,8 +18,8 @@
 use stacktack_core::protection::Protections;
 use stacktack_node::client::{Machine, PlatformClient, Role};
 use stacktack_node::clock::ProcessClock;
-use stacktack_node::control::{draw_incarnation, member_of, ControlHandle, ControlObserver};
-use stacktack_node::http::{listen, listen_datagrams, serve, ListenError, KEEP_ALIVE};
+use stacktack_node::control::{member_of, new_incarnation, ControlHandle, ControlObserver};
+use stacktack_node::http::{bind_datagram_socket, listen, serve, ListenError, KEEP_ALIVE_TIMEOUT};
 use stacktack_node::logging;
 use stacktack_node::metrics::{Metrics, MetricsError};
 use stacktack_node::settings::EXIT_FAILURE;
@@ -78,11 +78,11 @@
 
 async fn run(settings: RouterSettings) -> Result<(), RouterError> {
     let clock = ProcessClock::start();
-    let incarnation = draw_incarnation();
+    let incarnation = new_incarnation();
     let mut stop_signals = StopSignals::catch()?;
     let listener = listen("listen", settings.listen)?;
     let operator_listener = listen("operator", settings.operator)?;
-    let socket = listen_datagrams("gossip", settings.gossip)?;
+    let socket = bind_datagram_socket("gossip", settings.gossip)?;
     let (commands, receiver) = unbounded_channel();
     let shared = Arc::new(Shared::new(settings.name.clone(), clock, commands));
     let metrics = Metrics::new()?;
@@ -127,7 +127,7 @@
             let seed = rand::rng().next_u64();
             let traffic = start_worker(&worker_settings, shared.clone(), seed);
             HttpService::build()
-                .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
+                .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
                 .client_request_timeout(HEAD_TIMEOUT)
                 .on_connect_ext(|stream: &TcpStream, _| disable_write_delay(stream))
                 .h1(move |request| {
@@ -227,7 +227,7 @@
         self.shared.view.store(Arc::new(view));
     }
 
-    fn on_leave(&self) {
+    fn on_own_machine_leaving(&self) {
         self.shared.stop();
     }
 
--- a/crates/stacktack-router/src/caller.rs
+++ b/crates/stacktack-router/src/caller.rs
@@ -7,7 +7,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use stacktack_core::problem::Problem;
-use stacktack_node::http::{problem_reply, BodySender, BodySource, ChannelBody};
+use stacktack_node::http::{problem_response, BodyReceiver, BodySender, ChannelBody};
 use stacktack_wire::identity::{NodeId, RequestId};
 use tokio::sync::oneshot;
 
@@ -64,7 +64,7 @@
 
     /// Sends part of the body; false when the caller is gone or too slow.
     pub fn body(&mut self, bytes: Bytes) -> bool {
-        let in_time = self.parts.waiting() <= MAXIMUM_WAITING;
+        let in_time = self.parts.pending_bytes() <= MAXIMUM_WAITING;
         in_time && self.parts.send(bytes).is_ok()
     }
 
@@ -120,13 +120,13 @@
     name: &str,
     request: RequestId,
     start: AnswerStart,
-    parts: BodySource,
+    parts: BodyReceiver,
     guard: CallerGuard,
 ) -> Response<BoxBody> {
     let decision = format!("{name}.{request}");
     match start {
         AnswerStart::Problem(problem) => {
-            let mut reply = problem_reply(&problem);
+            let mut reply = problem_response(&problem);
             add_identity(&mut reply, request, &decision);
             reply
         }
--- a/crates/stacktack-router/src/operator.rs
+++ b/crates/stacktack-router/src/operator.rs
@@ -11,9 +11,9 @@
 use stacktack_core::dispatch::DispatchCounters;
 use stacktack_core::problem::{Kind, Outcome};
 use stacktack_node::control::{
-    hand_out_configuration, take_changes, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
+    receive_changes, serve_configuration, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
 };
-use stacktack_node::http::{json_reply, problem_reply, text_reply};
+use stacktack_node::http::{json_response, problem_response, text_response};
 use stacktack_node::metrics::Metrics;
 use stacktack_wire::identity::RequestId;
 use tokio::sync::oneshot;
@@ -71,27 +71,27 @@
             return self.explain(id).await;
         }
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
-            return take_changes(&self.control, request).await;
+            return receive_changes(&self.control, request).await;
         }
         match (request.method(), request.path()) {
-            (&Method::GET, CONFIGURATION_PATH) => hand_out_configuration(&self.control),
-            (&Method::GET, "/healthz") => text_reply(StatusCode::OK, String::from("ok\n")),
+            (&Method::GET, CONFIGURATION_PATH) => serve_configuration(&self.control),
+            (&Method::GET, "/healthz") => text_response(StatusCode::OK, String::from("ok\n")),
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => match self.metrics.render() {
-                Ok(text) => text_reply(StatusCode::OK, text),
-                Err(error) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+                Ok(text) => text_response(StatusCode::OK, text),
+                Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
             },
-            (&Method::GET, "/status") => json_reply(StatusCode::OK, &self.status()),
-            (_, path) => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+            (&Method::GET, "/status") => json_response(StatusCode::OK, &self.status()),
+            (_, path) => problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
         }
     }
 
     fn readiness(&self) -> Response<BoxBody> {
         let version = self.shared.view.load().configuration.version;
         if version.0 == 0 || self.shared.is_stopping() {
-            text_reply(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
         } else {
-            text_reply(StatusCode::OK, String::from("ready\n"))
+            text_response(StatusCode::OK, String::from("ready\n"))
         }
     }
 
@@ -131,14 +131,14 @@
     async fn explain(&self, text: &str) -> Response<BoxBody> {
         let Ok(id) = text.parse::<RequestId>() else {
             let problem = Kind::UnknownPath.problem(Outcome::NotRun, "this is no decision id");
-            return problem_reply(&problem);
+            return problem_response(&problem);
         };
         match self.find_record(id).await {
-            Some(record) => json_reply(StatusCode::OK, &record),
+            Some(record) => json_response(StatusCode::OK, &record),
             None => {
                 let problem =
                     Kind::UnknownPath.problem(Outcome::NotRun, "no record of this decision");
-                problem_reply(&problem)
+                problem_response(&problem)
             }
         }
     }
--- a/crates/stacktack-router/src/traffic.rs
+++ b/crates/stacktack-router/src/traffic.rs
@@ -16,7 +16,7 @@
 use stacktack_core::ledger::TableOperation;
 use stacktack_core::problem::{Kind, Outcome, Problem};
 use stacktack_node::client::PlatformClient;
-use stacktack_node::http::{body_channel, problem_reply};
+use stacktack_node::http::{body_channel, problem_response};
 use stacktack_wire::identity::{NodeId, RequestId};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::sync::oneshot;
@@ -87,7 +87,7 @@
             Err(problem) => {
                 let detail = &problem.detail;
                 log::info!(target: "entry", "request {id} is refused with {}: {detail}", problem.status);
-                return problem_reply(&problem);
+                return problem_response(&problem);
             }
         };
         let (start_sender, start) = oneshot::channel();
--- a/crates/stacktack-standins/src/engine/server.rs
+++ b/crates/stacktack-standins/src/engine/server.rs
@@ -14,7 +14,7 @@
 use stacktack_core::problem::{Kind, Outcome};
 use stacktack_core::time::Time;
 use stacktack_node::http::{
-    body_channel, json_reply, problem_reply, read_body, serve, BodySender, ChannelBody,
+    body_channel, json_response, problem_response, read_body, serve, BodySender, ChannelBody,
 };
 use stacktack_wire::message::{Priority, Usage};
 use tokio::sync::Notify;
@@ -205,7 +205,7 @@
 async fn answer(state: Shared, mut request: Request) -> Response<BoxBody> {
     let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     let path = request.path().to_string();
     let method = request.method().clone();
@@ -220,22 +220,24 @@
         (Method::POST, "/v1/chat/completions") => chat(&state, &request, &body),
         (Method::GET, "/v1/load") => {
             let state = state.borrow();
-            json_reply(StatusCode::OK, &state.model.reported_load(state.now()))
+            json_response(StatusCode::OK, &state.model.reported_load(state.now()))
         }
         (Method::GET, "/v1/cache/events") => {
             let state = state.borrow();
             let events = state.model.cache_events(state.now(), offset_of(&request));
-            json_reply(StatusCode::OK, &events)
+            json_response(StatusCode::OK, &events)
         }
         (Method::POST, "/v1/kv/export") => export(&state, &body).await,
         (Method::POST, "/v1/kv/import") => import(&state, &body).await,
         (Method::POST, "/v1/orders") => order(&state, &body),
-        (Method::GET, "/v1/orders") => json_reply(StatusCode::OK, &state.borrow().orders),
-        (Method::GET, "/observed") => json_reply(StatusCode::OK, state.borrow().model.observed()),
+        (Method::GET, "/v1/orders") => json_response(StatusCode::OK, &state.borrow().orders),
+        (Method::GET, "/observed") => {
+            json_response(StatusCode::OK, state.borrow().model.observed())
+        }
         (Method::POST, "/faults") => match serde_json::from_slice(&body) {
             Ok(faults) => {
                 state.borrow_mut().faults = faults;
-                json_reply(StatusCode::OK, &faults)
+                json_response(StatusCode::OK, &faults)
             }
             Err(error) => malformed(&error),
         },
@@ -244,11 +246,11 @@
 }
 
 fn not_found(path: &str) -> Response<BoxBody> {
-    problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path))
+    problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, path))
 }
 
 fn malformed(error: &serde_json::Error) -> Response<BoxBody> {
-    problem_reply(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
+    problem_response(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
 }
 
 /// Value of `after` or `offset` in the query; 0 when absent.
@@ -274,7 +276,7 @@
     let mut state = state.borrow_mut();
     if state.faults.refuse {
         let problem = Kind::Overloaded.problem(Outcome::NotRun, "refused as told");
-        return problem_reply(&problem.retry_after(1_000));
+        return problem_response(&problem.retry_after(1_000));
     }
     let now = state.now();
     let unnamed = format!("stream-{}", state.streams.len());
@@ -292,7 +294,7 @@
     };
     if let Err(refusal) = state.model.submit(now, job) {
         let problem = Kind::Overloaded.problem(Outcome::NotRun, refusal.to_string());
-        return problem_reply(&problem.retry_after(1_000));
+        return problem_response(&problem.retry_after(1_000));
     }
     state.wake.notify_one();
     let (sender, parts) = body_channel();
@@ -329,7 +331,7 @@
     if reader.is_some_and(|reader| reader.end().is_err()) {
         log::debug!(target: "engine", "the reader of {id} left before the cancel");
     }
-    json_reply(StatusCode::OK, &())
+    json_response(StatusCode::OK, &())
 }
 
 /// Sends a stream again from a token onwards and goes on with it.
@@ -373,7 +375,7 @@
     };
     let (export, duration) = state.borrow_mut().model.export(&chat.prompt_tokens());
     actix_rt::time::sleep(duration).await;
-    json_reply(StatusCode::OK, &export)
+    json_response(StatusCode::OK, &export)
 }
 
 async fn import(state: &Shared, body: &[u8]) -> Response<BoxBody> {
@@ -387,7 +389,7 @@
         state.model.import(now, &export)
     };
     actix_rt::time::sleep(duration).await;
-    json_reply(StatusCode::OK, &())
+    json_response(StatusCode::OK, &())
 }
 
 fn order(state: &Shared, body: &[u8]) -> Response<BoxBody> {
@@ -397,10 +399,10 @@
     };
     let mut state = state.borrow_mut();
     match state.orders.apply(order) {
-        Ok(()) => json_reply(StatusCode::OK, &state.orders),
+        Ok(()) => json_response(StatusCode::OK, &state.orders),
         Err(stale) => {
             let problem = Kind::KeyInUse.problem(Outcome::NotRun, stale.to_string());
-            problem_reply(&problem)
+            problem_response(&problem)
         }
     }
 }
--- a/crates/stacktack-standins/src/platform/server.rs
+++ b/crates/stacktack-standins/src/platform/server.rs
@@ -14,7 +14,7 @@
 use stacktack_core::time::Time;
 use stacktack_node::client::{Machine, PutRow};
 use stacktack_node::http::{
-    body_channel, json_reply, problem_reply, read_body, serve, ChannelBody,
+    body_channel, json_response, problem_response, read_body, serve, ChannelBody,
 };
 
 use super::faults::StoreFault;
@@ -108,7 +108,7 @@
 async fn answer(state: Rc<RefCell<State>>, mut request: Request) -> Response<BoxBody> {
     let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     let path = request.path().to_string();
     let (service, rest) = match path[1..].split_once('/') {
@@ -125,7 +125,7 @@
             if rest == "leaving" {
                 machines.retain(|machine| machine.leaving);
             }
-            json_reply(StatusCode::OK, &machines)
+            json_response(StatusCode::OK, &machines)
         }
         (&Method::PUT, "machines") => register(&state, &body),
         (&Method::DELETE, "machines") => leave(&state, rest),
@@ -133,19 +133,19 @@
         (method, "table") | (method, "objects") => {
             store(&state, method.clone(), service, rest, &body).await
         }
-        _ => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+        _ => problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
     }
 }
 
 fn malformed(error: &serde_json::Error) -> Response<BoxBody> {
-    problem_reply(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
+    problem_response(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
 }
 
 fn set_fault(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
     match serde_json::from_slice(body) {
         Ok(fault) => {
             state.borrow_mut().fault = fault;
-            json_reply(StatusCode::OK, &fault)
+            json_response(StatusCode::OK, &fault)
         }
         Err(error) => malformed(&error),
     }
@@ -159,7 +159,7 @@
         reads,
         over_rate: state.over_rate,
     };
-    json_reply(StatusCode::OK, &observed)
+    json_response(StatusCode::OK, &observed)
 }
 
 fn register(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
@@ -168,7 +168,7 @@
             let mut state = state.borrow_mut();
             let now = state.now();
             state.machines.register(now, machine);
-            json_reply(StatusCode::OK, &())
+            json_response(StatusCode::OK, &())
         }
         Err(error) => malformed(&error),
     }
@@ -178,9 +178,9 @@
     let mut state = state.borrow_mut();
     let now = state.now();
     if state.machines.mark_leaving(now, name) {
-        json_reply(StatusCode::OK, &())
+        json_response(StatusCode::OK, &())
     } else {
-        problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, name))
+        problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, name))
     }
 }
 
@@ -192,7 +192,7 @@
     let mut state = state.borrow_mut();
     let now = state.now();
     if state.weights.take(now, read.bytes) {
-        json_reply(StatusCode::OK, &())
+        json_response(StatusCode::OK, &())
     } else {
         overloaded("the weight store's rate is used up")
     }
@@ -200,7 +200,7 @@
 
 fn overloaded(detail: &str) -> Response<BoxBody> {
     let problem = Kind::TenantLimit.problem(Outcome::NotRun, detail);
-    problem_reply(&problem.retry_after(1_000))
+    problem_response(&problem.retry_after(1_000))
 }
 
 async fn store(
@@ -213,7 +213,7 @@
     let fault = state.borrow().fault;
     if fault == StoreFault::Down {
         let problem = Kind::StoreUnavailable.problem(Outcome::NotRun, "the store is down");
-        return problem_reply(&problem.retry_after(1_000));
+        return problem_response(&problem.retry_after(1_000));
     }
     if !state.borrow_mut().allowed(method == Method::PUT) {
         return overloaded("the store's rate is used up");
@@ -226,7 +226,7 @@
         ("table", &Method::PUT) => put_row(state, key, body),
         ("objects", &Method::GET) => get_object(state, key),
         ("objects", &Method::PUT) => put_object(state, key, body),
-        _ => problem_reply(&Kind::MethodNotAllowed.problem(Outcome::NotRun, method.as_str())),
+        _ => problem_response(&Kind::MethodNotAllowed.problem(Outcome::NotRun, method.as_str())),
     };
     if fault == StoreFault::LoseReplies && method == Method::PUT {
         return lost_reply();
@@ -248,8 +248,8 @@
         key: key.to_string(),
     };
     match state.borrow_mut().table.apply(&operation) {
-        TableReply::Read(Some(row)) => json_reply(StatusCode::OK, &row),
-        _ => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
+        TableReply::Read(Some(row)) => json_response(StatusCode::OK, &row),
+        _ => problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
     }
 }
 
@@ -269,9 +269,9 @@
                 version,
                 value: put.value,
             };
-            json_reply(StatusCode::OK, &row)
+            json_response(StatusCode::OK, &row)
         }
-        TableReply::Conflict(row) => json_reply(StatusCode::CONFLICT, &row),
+        TableReply::Conflict(row) => json_response(StatusCode::CONFLICT, &row),
         TableReply::Read(_) | TableReply::Lost => {
             Response::new(StatusCode::INTERNAL_SERVER_ERROR).map_into_boxed_body()
         }
@@ -283,7 +283,7 @@
         Some(bytes) => Response::build(StatusCode::OK)
             .body(bytes.clone())
             .map_into_boxed_body(),
-        None => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
+        None => problem_response(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
     }
 }
 
@@ -292,5 +292,5 @@
         .borrow_mut()
         .objects
         .insert(key.to_string(), body.clone());
-    json_reply(StatusCode::OK, &())
+    json_response(StatusCode::OK, &())
 }
--- a/crates/stacktack-standins/src/service.rs
+++ b/crates/stacktack-standins/src/service.rs
@@ -9,7 +9,7 @@
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
 use serde::Serialize;
-use stacktack_node::http::{json_reply, problem_reply, read_body, serve};
+use stacktack_node::http::{json_response, problem_response, read_body, serve};
 
 use crate::answer::service_answer;
 
@@ -58,11 +58,11 @@
     mut request: Request,
 ) -> Response<BoxBody> {
     if request.method() == Method::GET && request.path() == "/observed" {
-        return json_reply(StatusCode::OK, &*observed.borrow());
+        return json_response(StatusCode::OK, &*observed.borrow());
     }
     let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     let header = |name: &str| {
         let value = request.head().headers().get(name)?;
--- a/crates/stacktack-wire/src/codec.rs
+++ b/crates/stacktack-wire/src/codec.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Largest frame, in bytes: a caller's largest body and its envelope.
-pub const MAXIMUM_FRAME: usize = 8 * 1024 * 1024 + 64 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024 + 64 * 1024;
 
 /// A frame or datagram could not be encoded or decoded.
 #[derive(Debug, Error)]
@@ -43,10 +43,10 @@
 }
 
 impl<In, Out> MessageCodec<In, Out> {
-    /// A codec that refuses frames over [`MAXIMUM_FRAME`].
+    /// A codec that refuses frames over [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let frames = LengthDelimitedCodec::builder()
-            .max_frame_length(MAXIMUM_FRAME)
+            .max_frame_length(MAX_FRAME_BYTES)
             .new_codec();
         MessageCodec {
             frames,
--- a/crates/stacktack-wire/src/gossip.rs
+++ b/crates/stacktack-wire/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Datagrams of the control path.
 //!
 //! A datagram is one [`Datagram`] encoded with `postcard`, at most
-//! [`MAXIMUM_DATAGRAM`] bytes, so that it fits one packet.
+//! [`MAX_DATAGRAM_BYTES`] bytes, so that it fits one packet.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use crate::message::EncodedChanges;
 
 /// Largest datagram body, in bytes.
-pub const MAXIMUM_DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// Bytes of IPv4 and UDP headers that each datagram costs on the link.
-pub const DATAGRAM_HEADER: usize = 28;
+pub const DATAGRAM_HEADER_BYTES: usize = 28;
 
 /// State of one member as it travels by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
