--- a/crates/stacktack-core/src/control/mod.rs
+++ b/crates/stacktack-core/src/control/mod.rs
@@ -23,7 +23,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use stacktack_wire::gossip::{
-    Body, Datagram, Heartbeat, MemberInformation, DATAGRAM_HEADER, MAXIMUM_DATAGRAM,
+    Body, Datagram, Heartbeat, MemberInformation, DATAGRAM_HEADER_BYTES, MAX_DATAGRAM_BYTES,
 };
 use stacktack_wire::identity::{ConfigurationVersion, Incarnation, NodeId};
 use stacktack_wire::message::EncodedChanges;
@@ -139,7 +139,7 @@
                 bytes,
                 datagram,
             } => {
-                self.budget.charge_received(now, bytes + DATAGRAM_HEADER);
+                self.budget.charge_received(now, bytes + DATAGRAM_HEADER_BYTES);
                 self.on_datagram(now, source, *datagram, outputs);
             }
             ControlInput::Machines(machines) => self.on_machines(now, machines),
@@ -309,7 +309,7 @@
         let Some(changes) = self.sync.changes_since(base) else {
             return;
         };
-        if changes.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
+        if changes.bytes.len() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES {
             self.send(now, source, Body::Changes(changes), outputs);
         }
     }
@@ -326,7 +326,7 @@
             return;
         }
         if let Some(update) = self.sync.changes_since(before) {
-            if update.bytes.len() + ENVELOPE_BYTES <= MAXIMUM_DATAGRAM {
+            if update.bytes.len() + ENVELOPE_BYTES <= MAX_DATAGRAM_BYTES {
                 self.gossip_to_random_peers(now, Body::Changes(update), outputs);
             }
         }
@@ -426,7 +426,7 @@
         let Ok(encoded) = stacktack_wire::codec::encode(&datagram) else {
             return false;
         };
-        if !self.budget.try_send(now, encoded.len() + DATAGRAM_HEADER) {
+        if !self.budget.try_send(now, encoded.len() + DATAGRAM_HEADER_BYTES) {
             return false;
         }
         outputs.push(ControlOutput::Send { target, datagram });
--- a/crates/stacktack-core/src/control/rounds.rs
+++ b/crates/stacktack-core/src/control/rounds.rs
@@ -1,7 +1,7 @@
 //! Periodic work of the control state: gossip, pings and polls of the platform.
 
 use rand::RngExt;
-use stacktack_wire::gossip::{Body, Heartbeat, DATAGRAM_HEADER, MAXIMUM_DATAGRAM};
+use stacktack_wire::gossip::{Body, Heartbeat, DATAGRAM_HEADER_BYTES, MAX_DATAGRAM_BYTES};
 
 use super::{
     detector, Control, ControlOutput, ENVELOPE_BYTES, FLEET_READS_PER_SECOND,
@@ -48,9 +48,9 @@
     /// many as fit this round's share of the byte budget.
     fn freshest_heartbeats(&mut self, now: Time) -> Vec<Heartbeat> {
         let share = self.budget.available(now) as f64 * HEARTBEAT_BUDGET_SHARE;
-        let bytes = (share as usize).min(MAXIMUM_DATAGRAM);
+        let bytes = (share as usize).min(MAX_DATAGRAM_BYTES);
         let max_others =
-            bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER) / MAX_HEARTBEAT_BYTES;
+            bytes.saturating_sub(ENVELOPE_BYTES + DATAGRAM_HEADER_BYTES) / MAX_HEARTBEAT_BYTES;
         let mut others: Vec<(Time, Heartbeat)> = self
             .members
             .iter()
