--- a/crates/stacktack-core/src/control/mod.rs
+++ b/crates/stacktack-core/src/control/mod.rs
@@ -139,7 +139,8 @@
                 bytes,
                 datagram,
             } => {
-                self.budget.charge_received(now, bytes + DATAGRAM_HEADER_BYTES);
+                self.budget
+                    .charge_received(now, bytes + DATAGRAM_HEADER_BYTES);
                 self.on_datagram(now, source, *datagram, outputs);
             }
             ControlInput::Machines(machines) => self.on_machines(now, machines),
@@ -426,7 +427,10 @@
         let Ok(encoded) = stacktack_wire::codec::encode(&datagram) else {
             return false;
         };
-        if !self.budget.try_send(now, encoded.len() + DATAGRAM_HEADER_BYTES) {
+        if !self
+            .budget
+            .try_send(now, encoded.len() + DATAGRAM_HEADER_BYTES)
+        {
             return false;
         }
         outputs.push(ControlOutput::Send { target, datagram });
--- a/crates/stacktack-core/src/dispatch/messages.rs
+++ b/crates/stacktack-core/src/dispatch/messages.rs
@@ -7,7 +7,7 @@
 
 use super::request::{Event, Pieces};
 use super::{offer, DispatchOutput, Dispatcher};
-use crate::protection::Rule;
+use crate::protection::Protection;
 use crate::time::Time;
 
 impl Dispatcher {
@@ -104,7 +104,7 @@
     }
 
     fn is_current(&self, attempt: AttemptId, agent: NodeId) -> bool {
-        if !self.protections.hold(Rule::AttemptMatching) {
+        if !self.protections.is_enabled(Protection::AttemptMatching) {
             return self.requests.contains_key(&attempt.request);
         }
         self.requests
@@ -157,7 +157,8 @@
         };
         entry.total_pieces = pieces;
         entry.usage = usage;
-        let gap = entry.delivered_pieces < pieces && self.protections.hold(Rule::PieceOrder);
+        let gap =
+            entry.delivered_pieces < pieces && self.protections.is_enabled(Protection::PieceOrder);
         let event = if gap {
             Event::FateRunning
         } else {
--- a/crates/stacktack-core/src/dispatch/settle.rs
+++ b/crates/stacktack-core/src/dispatch/settle.rs
@@ -8,8 +8,8 @@
 use super::request::Entry;
 use super::{AgentConnection, DispatchOutput, Dispatcher};
 use crate::ledger::{ClaimStep, KeyState};
-use crate::problem::{Kind, Outcome, Problem};
-use crate::protection::Rule;
+use crate::problem::{Outcome, Problem, ProblemKind};
+use crate::protection::Protection;
 use crate::time::Time;
 
 /// Retry-after time of a router that is stopping, starting or has a stale configuration, in
@@ -32,22 +32,22 @@
 /// The problem with which a request ends whose claim of its idempotency key was refused.
 pub(super) fn claim_problem(step: &ClaimStep) -> Problem {
     match step {
-        ClaimStep::Used => Kind::KeyUsed.problem(
-            Outcome::Ran,
-            "a request with this idempotency key has already run",
-        ),
-        ClaimStep::InUse => Kind::KeyInUse
+        ClaimStep::Used => ProblemKind::KeyUsed
+            .problem(Outcome::Ran, "a request with this idempotency key has run"),
+        ClaimStep::InUse => ProblemKind::KeyInUse
             .problem(
                 Outcome::Unknown,
                 "a request with this idempotency key may be running",
             )
             .retry_after(KEY_RETRY_AFTER_MS),
-        ClaimStep::Unavailable | ClaimStep::Send(_) | ClaimStep::Claimed => Kind::StoreUnavailable
-            .problem(
-                Outcome::NotRun,
-                "the idempotency key cannot be recorded now",
-            )
-            .retry_after(NO_BACK_END_RETRY_AFTER_MS),
+        ClaimStep::Unavailable | ClaimStep::Send(_) | ClaimStep::Claimed => {
+            ProblemKind::StoreUnavailable
+                .problem(
+                    Outcome::NotRun,
+                    "the idempotency key cannot be recorded now",
+                )
+                .retry_after(NO_BACK_END_RETRY_AFTER_MS)
+        }
     }
 }
 
@@ -58,7 +58,7 @@
     } else {
         Outcome::Unknown
     };
-    Kind::BackEndFailed
+    ProblemKind::BackEndFailed
         .problem(
             outcome,
             "the back end was lost before its response was complete",
@@ -80,7 +80,7 @@
     /// Sends the received pieces to the caller if they start at the next piece to deliver. Drops
     /// them if all were delivered already; otherwise asks the agent to resume from the next piece.
     pub(super) fn deliver(&mut self, now: Time, id: RequestId, outputs: &mut Vec<DispatchOutput>) {
-        let ordered = self.protections.hold(Rule::PieceOrder);
+        let ordered = self.protections.is_enabled(Protection::PieceOrder);
         let Some(entry) = self.requests.get_mut(&id) else {
             return;
         };
@@ -183,7 +183,7 @@
         } else {
             Outcome::NotRun
         };
-        let problem = Kind::DeadlineUnreachable
+        let problem = ProblemKind::DeadlineUnreachable
             .problem(
                 outcome,
                 "the deadline passed before the response was complete",
@@ -197,7 +197,7 @@
         id: RequestId,
         outputs: &mut Vec<DispatchOutput>,
     ) {
-        let problem = Kind::DeadlineUnreachable
+        let problem = ProblemKind::DeadlineUnreachable
             .problem(
                 Outcome::NotRun,
                 "the deadline passed before the idempotency key was recorded",
