--- a/crates/stacktack-lab/src/caller.rs
+++ b/crates/stacktack-lab/src/caller.rs
@@ -6,7 +6,7 @@
 use awc::{Client, Connector};
 use futures_util::StreamExt;
 use serde_json::{json, Value};
-use stacktack_standins::answer::{answer_seed, answer_text, ChatRequest};
+use stacktack_standins::response::{response_seed, response_text, ChatRequest};
 
 use crate::error::LabError;
 
@@ -72,7 +72,7 @@
             serde_json::from_str(body).map_err(|error| LabError::Request(error.to_string()))?;
         Ok(ExpectedAnswers {
             prompt: request.prompt_tokens(),
-            length: request.answer_length(),
+            length: request.response_length(),
         })
     }
 
@@ -88,7 +88,7 @@
 
     fn texts(&self) -> impl Iterator<Item = String> + '_ {
         (0..MAXIMUM_ATTEMPTS)
-            .map(|attempt| answer_text(answer_seed(&self.prompt, attempt), self.length))
+            .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length))
     }
 }
 
--- a/crates/stacktack-lab/src/demo.rs
+++ b/crates/stacktack-lab/src/demo.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use futures_util::future::join_all;
-use stacktack_standins::answer::service_answer;
+use stacktack_standins::response::service_response;
 
 use crate::caller::{Caller, Chat, ExpectedAnswers, Reply};
 use crate::error::LabError;
@@ -161,7 +161,7 @@
     for number in 0..SERVICE_CALLS {
         let body = format!("entry {number}");
         let inner = format!("/entries/{number}");
-        let expected = service_answer("POST", &inner, body.as_bytes());
+        let expected = service_response("POST", &inner, body.as_bytes());
         let path = format!("/services/{SERVICE}{inner}");
         let key = format!("demo-{number}");
         let headers = [("idempotency-key", key.as_str())];
--- a/crates/stacktack-lab/src/emulator/backend.rs
+++ b/crates/stacktack-lab/src/emulator/backend.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use stacktack_core::gate::answer::Head;
 use stacktack_core::gate::BackendEvent;
-use stacktack_standins::answer::{answer_text, service_answer, ChatRequest};
 use stacktack_standins::engine::model::{EngineEvent, EngineModel, EngineSettings, Job};
+use stacktack_standins::response::{response_text, service_response, ChatRequest};
 use stacktack_standins::service;
 use stacktack_wire::identity::{AttemptId, ConfigurationVersion};
 use stacktack_wire::message::{Offer, Payload, Usage};
@@ -117,7 +117,7 @@
                 body,
                 ..
             } => {
-                let answer = service_answer(method, path, body);
+                let answer = service_response(method, path, body);
                 let id = (attempt, offer.version);
                 self.start_service(agent, id, idempotency_key.as_deref(), answer);
             }
@@ -144,7 +144,7 @@
         let job = Job {
             id: name.clone(),
             prompt: chat.prompt_tokens(),
-            length: chat.answer_length(),
+            length: chat.response_length(),
             priority: offer.priority,
         };
         if model.submit(now, job).is_err() {
@@ -176,7 +176,7 @@
     ) {
         let now = self.now;
         if let Some(BackEndState::Service { observed, running }) = self.back_end_state(agent) {
-            observed.count(key, Some(&attempt.to_string()));
+            observed.count_call(key, Some(&attempt.to_string()));
             running.insert(attempt, answer);
         }
         self.observer.note_run(now, agent, (attempt, version), key);
@@ -208,7 +208,7 @@
         else {
             return;
         };
-        let Some(at) = model.next_step().filter(|_| !*stepping) else {
+        let Some(at) = model.step_end().filter(|_| !*stepping) else {
             return;
         };
         *stepping = true;
@@ -279,7 +279,7 @@
         }
         if let Some(usage) = known.usage {
             if !stream {
-                let pieces = vec![Bytes::from(answer_text(known.seed, known.length))];
+                let pieces = vec![Bytes::from(response_text(known.seed, known.length))];
                 reports.push(BackendEvent::Pieces { offset: 0, pieces });
             }
             reports.push(BackendEvent::Finished(usage));
@@ -299,7 +299,7 @@
 }
 
 fn word_piece(seed: u64, index: u32) -> Bytes {
-    let word = stacktack_standins::answer::answer_word(seed, index);
+    let word = stacktack_standins::response::response_word(seed, index);
     Bytes::from(word + " ")
 }
 
@@ -322,7 +322,7 @@
                 return;
             };
             if let Some(state) = model.stream(&id).filter(|_| !stream) {
-                let pieces = vec![Bytes::from(answer_text(state.seed, state.length))];
+                let pieces = vec![Bytes::from(response_text(state.seed, state.length))];
                 reports.push((*attempt, BackendEvent::Pieces { offset: 0, pieces }));
             }
             reports.push((*attempt, BackendEvent::Finished(usage)));
--- a/crates/stacktack-lab/src/emulator/callers.rs
+++ b/crates/stacktack-lab/src/emulator/callers.rs
@@ -11,7 +11,7 @@
 use stacktack_core::problem::Problem;
 use stacktack_core::time::Time;
 use stacktack_core::tokens::estimate_prompt_tokens;
-use stacktack_standins::answer::service_answer;
+use stacktack_standins::response::service_response;
 use stacktack_wire::gossip::MemberRole;
 use stacktack_wire::identity::{ChatId, RequestId, TenantId};
 use stacktack_wire::message::{Payload, Priority};
@@ -368,7 +368,7 @@
 fn service_request(load: &LoadPlan, arrival: &Arrival, id: RequestId) -> (Request, CallerRequest) {
     let path = format!("/entries/{}", arrival.number);
     let body = Bytes::from(format!("entry {}", arrival.number));
-    let expected = Expected::Service(service_answer("POST", &path, &body));
+    let expected = Expected::Service(service_response("POST", &path, &body));
     let key = key_of(load, arrival);
     let request = Request {
         id,
--- a/crates/stacktack-lab/src/emulator/mod.rs
+++ b/crates/stacktack-lab/src/emulator/mod.rs
@@ -117,7 +117,7 @@
 
     /// Writes that the table took or refused as conflicts.
     pub fn table_writes(&self) -> u64 {
-        self.platform.table.operations().0
+        self.platform.table.operation_counts().0
     }
 
     /// What the observers saw.
--- a/crates/stacktack-standins/src/engine/cache.rs
+++ b/crates/stacktack-standins/src/engine/cache.rs
@@ -172,5 +172,5 @@
     /// Model of the prompt.
     pub model: String,
     /// The prompt's messages.
-    pub messages: Vec<crate::answer::ChatMessage>,
+    pub messages: Vec<crate::response::ChatMessage>,
 }
--- a/crates/stacktack-standins/src/engine/model.rs
+++ b/crates/stacktack-standins/src/engine/model.rs
@@ -18,7 +18,7 @@
 use super::cache::{
     block_chain, BlockHash, EventSettings, PrefixCache, BLOCK_TOKENS, BYTES_PER_TOKEN,
 };
-use crate::answer::{answer_seed, answer_word, attempt_number, token_of};
+use crate::response::{attempt_number, response_seed, response_word, token_of};
 
 /// Prompt tokens that one step may compute.
 const PREFILL_BUDGET: usize = 512;
@@ -215,7 +215,7 @@
         if self.waiting.len() >= self.settings.waiting {
             return Err(EngineRefusal::Full);
         }
-        let seed = answer_seed(&job.prompt, attempt_number(&job.id));
+        let seed = response_seed(&job.prompt, attempt_number(&job.id));
         self.streams.insert(
             job.id.clone(),
             StreamState {
@@ -269,7 +269,7 @@
     }
 
     /// End of the step under way.
-    pub fn next_step(&self) -> Option<Time> {
+    pub fn step_end(&self) -> Option<Time> {
         self.step_end
     }
 
@@ -437,7 +437,7 @@
             return;
         };
         let index = sequence.generated;
-        let word = answer_word(sequence.seed, index);
+        let word = response_word(sequence.seed, index);
         sequence.generated += 1;
         self.observed.generated_tokens += 1;
         let whole = sequence.generated >= sequence.length;
@@ -466,7 +466,7 @@
         let mut tokens = sequence.prompt;
         tokens.push(token_of("assistant"));
         tokens.extend(
-            (0..sequence.generated).map(|index| token_of(&answer_word(sequence.seed, index))),
+            (0..sequence.generated).map(|index| token_of(&response_word(sequence.seed, index))),
         );
         self.cache.store(now, &block_chain(&tokens));
         if let Some(stream) = self.streams.get_mut(&id) {
--- a/crates/stacktack-standins/src/engine/server.rs
+++ b/crates/stacktack-standins/src/engine/server.rs
@@ -22,7 +22,7 @@
 use super::cache::KvExportRequest;
 use super::model::{EngineEvent, EngineModel, EngineSettings, Job, KvExport};
 use super::orders::{Order, OrderState};
-use crate::answer::{answer_text, answer_word, ChatRequest};
+use crate::response::{response_text, response_word, ChatRequest};
 
 /// Largest body taken, in bytes.
 const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
@@ -93,7 +93,7 @@
     loop {
         let (due, origin) = {
             let state = state.borrow();
-            (state.model.next_step(), state.origin)
+            (state.model.step_end(), state.origin)
         };
         let Some(due) = due else {
             wake.notified().await;
@@ -141,7 +141,7 @@
         if stream.as_events {
             send(stream, final_event(id, state.length, usage));
         } else {
-            let text = answer_text(state.seed, state.length);
+            let text = response_text(state.seed, state.length);
             send(stream, Bytes::from(completion(id, &text, usage)));
         }
         if let Some(reader) = stream.reader.take() {
@@ -287,7 +287,7 @@
     let job = Job {
         id: id.clone(),
         prompt: chat.prompt_tokens(),
-        length: chat.answer_length(),
+        length: chat.response_length(),
         priority,
     };
     if let Err(refusal) = state.model.submit(now, job) {
@@ -350,7 +350,7 @@
     let as_events = stream.as_events;
     if as_events {
         for index in offset as u32..known.generated {
-            let word = answer_word(known.seed, index);
+            let word = response_word(known.seed, index);
             send(stream, token_event(id, index, &word));
         }
     }
--- a/crates/stacktack-standins/src/lib.rs
+++ b/crates/stacktack-standins/src/lib.rs
@@ -4,7 +4,7 @@
 //! virtual time, and a small HTTP server around it for tests and the demo. The
 //! observers that proofs rely on live in the models, apart from the product.
 
-pub mod answer;
 pub mod engine;
 pub mod platform;
+pub mod response;
 pub mod service;
--- a/crates/stacktack-standins/src/platform/server.rs
+++ b/crates/stacktack-standins/src/platform/server.rs
@@ -153,7 +153,7 @@
 
 fn observed(state: &Rc<RefCell<State>>) -> Response<BoxBody> {
     let state = state.borrow();
-    let (writes, reads) = state.table.operations();
+    let (writes, reads) = state.table.operation_counts();
     let observed = Observed {
         writes,
         reads,
--- a/crates/stacktack-standins/src/platform/table.rs
+++ b/crates/stacktack-standins/src/platform/table.rs
@@ -30,7 +30,7 @@
     }
 
     /// Writes carried out or refused as conflicts, and reads.
-    pub fn operations(&self) -> (u64, u64) {
+    pub fn operation_counts(&self) -> (u64, u64) {
         (self.writes, self.reads)
     }
 
--- a/crates/stacktack-standins/src/answer.rs
+++ b/crates/stacktack-standins/src/response.rs
@@ -43,7 +43,7 @@
     }
 
     /// Number of tokens that the answer has.
-    pub fn answer_length(&self) -> u32 {
+    pub fn response_length(&self) -> u32 {
         self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1)
     }
 }
@@ -56,7 +56,7 @@
 /// Seed from which all words of the answer to a prompt follow. Each attempt of
 /// a request samples another answer, so that parts of two are never taken for
 /// one.
-pub fn answer_seed(prompt: &[u64], attempt: u16) -> u64 {
+pub fn response_seed(prompt: &[u64], attempt: u16) -> u64 {
     prompt.iter().fold(u64::from(attempt), |seed, token| {
         xxh3_64_with_seed(&token.to_le_bytes(), seed)
     })
@@ -70,20 +70,20 @@
 }
 
 /// Word number `index` of the answer, without the blank behind it.
-pub fn answer_word(seed: u64, index: u32) -> String {
+pub fn response_word(seed: u64, index: u32) -> String {
     let hash = xxh3_64_with_seed(&index.to_le_bytes(), seed);
     format!("{:04x}", hash as u16)
 }
 
 /// The whole answer's text: its words, each with a blank behind it.
-pub fn answer_text(seed: u64, length: u32) -> String {
+pub fn response_text(seed: u64, length: u32) -> String {
     (0..length)
-        .map(|index| answer_word(seed, index) + " ")
+        .map(|index| response_word(seed, index) + " ")
         .collect()
 }
 
 /// Text that the service stand-in answers to a call.
-pub fn service_answer(method: &str, path: &str, body: &[u8]) -> String {
+pub fn service_response(method: &str, path: &str, body: &[u8]) -> String {
     let hash = xxh3_64(body);
     format!("{method} {path} {hash:016x}\n")
 }
--- a/crates/stacktack-standins/src/service.rs
+++ b/crates/stacktack-standins/src/service.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use stacktack_node::http::{json_reply, problem_reply, read_body, serve};
 
-use crate::answer::service_answer;
+use crate::response::service_response;
 
 /// Largest body taken, in bytes.
 const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
@@ -32,7 +32,7 @@
 
 impl Observed {
     /// Counts a call.
-    pub fn count(&mut self, key: Option<&str>, attempt: Option<&str>) {
+    pub fn count_call(&mut self, key: Option<&str>, attempt: Option<&str>) {
         self.calls += 1;
         if let Some(key) = key {
             *self.by_key.entry(key.to_string()).or_insert(0) += 1;
@@ -68,7 +68,7 @@
         let value = request.head().headers().get(name)?;
         value.to_str().ok().map(String::from)
     };
-    observed.borrow_mut().count(
+    observed.borrow_mut().count_call(
         header("idempotency-key").as_deref(),
         header("x-request-id").as_deref(),
     );
@@ -79,7 +79,7 @@
         .uri()
         .path_and_query()
         .map_or("/", |target| target.as_str());
-    let text = service_answer(request.method().as_str(), target, &body);
+    let text = service_response(request.method().as_str(), target, &body);
     Response::build(StatusCode::OK)
         .insert_header(("content-type", "text/plain"))
         .body(text)
--- a/crates/stacktack-standins/tests/platform.rs
+++ b/crates/stacktack-standins/tests/platform.rs
@@ -36,7 +36,7 @@
         table.apply(&put("d", Some(first))),
         TableReply::Conflict(_)
     ));
-    assert_eq!(table.operations(), (4, 0));
+    assert_eq!(table.operation_counts(), (4, 0));
 }
 
 #[test]
