--- a/crates/stacktack-core/src/chart.rs
+++ b/crates/stacktack-core/src/chart.rs
@@ -1,9 +1,9 @@
 //! Interpreter of the state charts in `charts/`.
 //!
-//! A chart is a TOML file that names its states, events and transitions; the
-//! code supplies the meaning of the actions. [`Chart::parse`] refuses a chart
-//! in which a state is unreachable or an event has no answer in some state, so
-//! that no message is ever met by surprise.
+//! A chart is a TOML file with states, events and transitions; the code
+//! implements the actions. [`Chart::parse`] rejects a chart in which a state is
+//! unreachable or an event has no transition in some state, so that every event
+//! is handled whenever it arrives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -12,36 +12,36 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A state chart over the states `S`, events `E` and actions `A`.
+/// State chart with the states `S`, events `E` and actions `A`.
 #[derive(Debug)]
 pub struct Chart<S, E, A> {
     initial: S,
     transitions: BTreeMap<(S, E), (S, Vec<A>)>,
 }
 
-/// A chart file is not a complete chart.
+/// Why a chart file is rejected.
 #[derive(Debug, Error)]
 pub enum ChartError {
-    /// The file is no TOML, or names an unknown state, event or action.
-    #[error("chart does not parse: {0}")]
+    /// The file is not valid TOML, or names an unknown state, event or action.
+    #[error("cannot parse chart: {0}")]
     Parse(#[from] toml::de::Error),
-    /// Two transitions answer the same event in the same state.
-    #[error("state {state} answers event {event} twice")]
+    /// A state has two transitions for the same event.
+    #[error("state {state} has two transitions for event {event}")]
     Duplicate {
         /// The state.
         state: String,
         /// The event.
         event: String,
     },
-    /// An event has no answer in a state.
-    #[error("state {state} does not answer event {event}")]
+    /// A state has no transition for an event.
+    #[error("state {state} has no transition for event {event}")]
     Unhandled {
         /// The state.
         state: String,
         /// The event.
         event: String,
     },
-    /// No path leads from the initial state to a state.
+    /// No path of transitions leads from the initial state to a state.
     #[error("state {state} is unreachable")]
     Unreachable {
         /// The state.
@@ -63,7 +63,7 @@
 struct TransitionEntry<S, E, A> {
     from: Vec<S>,
     on: Vec<E>,
-    /// Absent: the state stays.
+    /// Next state; absent if the state stays the same.
     to: Option<S>,
     #[serde(default = "Vec::new", rename = "do")]
     actions: Vec<A>,
@@ -75,14 +75,14 @@
     E: Copy + Ord + Debug + DeserializeOwned,
     A: Clone + DeserializeOwned,
 {
-    /// Parses and checks a chart.
+    /// Parses a chart and checks that it is complete.
     pub fn parse(text: &str) -> Result<Self, ChartError> {
         let file: ChartFile<S, E, A> = toml::from_str(text)?;
         let chart = Chart {
             initial: file.initial,
             transitions: collect_transitions(file.transition)?,
         };
-        chart.check_answers(&file.states, &file.events)?;
+        chart.check_complete(&file.states, &file.events)?;
         chart.check_reachable(&file.states)?;
         Ok(chart)
     }
@@ -95,13 +95,13 @@
     /// Next state and the actions to perform, in order.
     ///
     /// # Panics
-    /// Never for states and events of a parsed chart: every pair is answered.
+    /// Never for states and events of the chart file: every pair has a transition.
     pub fn step(&self, state: S, event: E) -> (S, &[A]) {
         let (next, actions) = &self.transitions[&(state, event)];
         (*next, actions)
     }
 
-    fn check_answers(&self, states: &[S], events: &[E]) -> Result<(), ChartError> {
+    fn check_complete(&self, states: &[S], events: &[E]) -> Result<(), ChartError> {
         for state in states {
             for event in events {
                 if !self.transitions.contains_key(&(*state, *event)) {
--- a/crates/stacktack-core/src/configuration/apply.rs
+++ b/crates/stacktack-core/src/configuration/apply.rs
@@ -1,28 +1,30 @@
-//! Acceptance of a change by conditional writes, without guessing.
+//! Acceptance of a configuration change by conditional writes.
 //!
-//! The change's row is written first, then the head is moved on the condition
-//! that it is still the one the change was made for. A lost reply is settled
-//! by reading: the head, and when others have moved it on since, the chain of
-//! changes behind it.
+//! The change's row is written first; then the head is moved on the condition
+//! that it is still the one that the change is based on. A lost reply is never
+//! guessed but resolved by reading the head and, if other changes have moved
+//! the head on since, the chain of changes behind it.
 
 use super::change::Change;
 use super::store::{change_key, ChangeRow, HeadRow, HEAD_KEY};
 use crate::ledger::{Row, RowVersion, TableOperation, TableReply};
 use crate::protection::{Protection, Protections};
 
-/// Operations sent before the result is called unknown.
-const MAXIMUM_OPERATIONS: u32 = 40;
+/// Maximum number of table operations, after which the result is unknown.
+const MAX_OPERATIONS: u32 = 40;
 
-/// Where an application stands.
+/// Next step of a change's application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyStep {
-    /// Send this operation and hand in its reply.
+    /// Send this operation and pass its reply to [`ChangeApplication::on_reply`].
     Send(TableOperation),
     /// The change is accepted.
     Accepted,
-    /// Another change was accepted first; nothing of this one is in force.
+    /// Another change of this version was accepted first; nothing of this one is
+    /// in force.
     LostRace,
-    /// The table does not answer; the change may or may not be accepted.
+    /// The result could not be determined, mostly because the table does not
+    /// answer; the change may or may not be accepted.
     Unknown,
 }
 
@@ -31,10 +33,11 @@
     WriteChange,
     MoveHead,
     ReadHead,
-    Walk(String),
+    /// Reads the change with this id in the chain behind the head.
+    FollowChain(String),
 }
 
-/// One application of a change.
+/// State machine that gets one change accepted.
 #[derive(Debug)]
 pub struct ChangeApplication {
     row: ChangeRow,
@@ -46,8 +49,9 @@
 }
 
 impl ChangeApplication {
-    /// Application of a change onto the head that was read with a row version
-    /// (none where there is no head yet).
+    /// Creates the application of a change that moves the head to `head`.
+    /// `head_version` is the row version of the current head; none if there is
+    /// no head yet.
     pub fn new(
         row: ChangeRow,
         head: HeadRow,
@@ -64,12 +68,12 @@
         }
     }
 
-    /// First step.
+    /// Returns the first step.
     pub fn begin(&mut self) -> ApplyStep {
         self.send_phase()
     }
 
-    /// Next step after the reply to the operation sent last.
+    /// Returns the next step after the reply to the last operation.
     pub fn on_reply(&mut self, reply: TableReply) -> ApplyStep {
         match (self.phase.clone(), reply) {
             (Phase::WriteChange, TableReply::Written(_) | TableReply::Conflict(Some(_))) => {
@@ -77,17 +81,17 @@
             }
             (Phase::WriteChange, _) => self.enter(Phase::WriteChange),
             (Phase::MoveHead, TableReply::Written(_)) => ApplyStep::Accepted,
-            (Phase::MoveHead, TableReply::Conflict(row)) => self.judge_head(row),
+            (Phase::MoveHead, TableReply::Conflict(row)) => self.evaluate_head(row),
             (Phase::MoveHead, _) => self.enter(Phase::ReadHead),
-            (Phase::ReadHead, TableReply::Read(row)) => self.judge_head(row),
+            (Phase::ReadHead, TableReply::Read(row)) => self.evaluate_head(row),
             (Phase::ReadHead, _) => self.enter(Phase::ReadHead),
-            (Phase::Walk(_), TableReply::Read(Some(row))) => self.judge_change(&row),
-            (Phase::Walk(_), TableReply::Read(None)) => ApplyStep::Unknown,
-            (Phase::Walk(id), _) => self.enter(Phase::Walk(id)),
+            (Phase::FollowChain(_), TableReply::Read(Some(row))) => self.evaluate_change(&row),
+            (Phase::FollowChain(_), TableReply::Read(None)) => ApplyStep::Unknown,
+            (Phase::FollowChain(id), _) => self.enter(Phase::FollowChain(id)),
         }
     }
 
-    /// The change that is applied.
+    /// The change that this application gets accepted.
     pub fn change(&self) -> &Change {
         &self.row.change
     }
@@ -96,8 +100,9 @@
         &self.row.change.change_id
     }
 
-    /// The head as it is now: unmoved, moved to this change, or moved on.
-    fn judge_head(&mut self, row: Option<Row>) -> ApplyStep {
+    /// Decides by the current head, which has not moved yet, was moved to this
+    /// change, or was moved on by others.
+    fn evaluate_head(&mut self, row: Option<Row>) -> ApplyStep {
         let Some(row) = row else {
             self.head_version = None;
             return self.enter(Phase::MoveHead);
@@ -114,11 +119,12 @@
             self.head_version = Some(row.version);
             return self.enter(Phase::MoveHead);
         }
-        self.enter(Phase::Walk(head.change_id))
+        self.enter(Phase::FollowChain(head.change_id))
     }
 
-    /// A change behind the head: the one of this version decides.
-    fn judge_change(&mut self, row: &Row) -> ApplyStep {
+    /// Decides by a change in the chain behind the head: the accepted change of
+    /// this version is either this change or a competing one.
+    fn evaluate_change(&mut self, row: &Row) -> ApplyStep {
         let Ok(other) = serde_json::from_str::<ChangeRow>(&row.value) else {
             return ApplyStep::Unknown;
         };
@@ -127,7 +133,7 @@
         }
         match other.previous {
             Some(previous) if other.change.version > self.row.change.version => {
-                self.enter(Phase::Walk(previous))
+                self.enter(Phase::FollowChain(previous))
             }
             _ => ApplyStep::LostRace,
         }
@@ -140,7 +146,7 @@
 
     fn send_phase(&mut self) -> ApplyStep {
         self.operations += 1;
-        if self.operations > MAXIMUM_OPERATIONS {
+        if self.operations > MAX_OPERATIONS {
             return ApplyStep::Unknown;
         }
         ApplyStep::Send(match &self.phase {
@@ -157,7 +163,7 @@
             Phase::ReadHead => TableOperation::Get {
                 key: HEAD_KEY.to_string(),
             },
-            Phase::Walk(id) => TableOperation::Get {
+            Phase::FollowChain(id) => TableOperation::Get {
                 key: change_key(id),
             },
         })
--- a/crates/stacktack-core/src/configuration/change.rs
+++ b/crates/stacktack-core/src/configuration/change.rs
@@ -1,7 +1,8 @@
-//! Accepted changes: a change is the difference between two documents.
+//! Accepted changes of the configuration.
 //!
-//! A change carries only the entries that differ, so that its size follows
-//! what an operator edits and not the size of the fleet.
+//! A change is the difference between two documents. It carries only the
+//! entries that differ, so that its size depends on the size of the edit and not
+//! on the size of the fleet.
 
 use serde::{Deserialize, Serialize};
 use stacktack_wire::identity::ConfigurationVersion;
@@ -42,55 +43,56 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Difference {
-    /// New limits.
+    /// New limits; none if they stay.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limits: Option<Limits>,
-    /// Back ends.
+    /// Changed back ends.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub back_ends: EntryChanges<BackEnd>,
-    /// Models.
+    /// Changed models.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub models: EntryChanges<Model>,
-    /// Adapters.
+    /// Changed adapters.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub adapters: EntryChanges<Adapter>,
-    /// Tenants.
+    /// Changed tenants.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub tenants: EntryChanges<Tenant>,
-    /// Services.
+    /// Changed services.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub services: EntryChanges<Service>,
-    /// Selectors.
+    /// Changed selectors.
     #[serde(skip_serializing_if = "EntryChanges::is_empty")]
     pub selectors: EntryChanges<Selector>,
 }
 
-/// One accepted change, as kept in the row `config/change/{version}`.
+/// One change, as stored in the row `config/change/{change id}`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Version that the change brings about.
+    /// Version of the configuration after the change.
     pub version: ConfigurationVersion,
-    /// Who applied it.
+    /// Name of the author.
     pub author: String,
-    /// Unique, so that a writer whose reply was lost knows its own change.
+    /// Unique identifier, by which a writer whose reply was lost recognises its
+    /// own change.
     pub change_id: String,
-    /// What differs from the version before.
+    /// Difference from the previous version.
     pub difference: Difference,
 }
 
-/// Changes cannot be applied.
+/// Why encoded changes cannot be applied.
 #[derive(Debug, Error)]
 pub enum ChangeError {
-    /// The changes start at another version than the one held.
-    #[error("changes start behind version {base}, but version {held} is held")]
+    /// Changes between the held version and the received ones are missing.
+    #[error("changes apply to version {base}, but the held version is {held}")]
     WrongBase {
-        /// Version before the first change.
+        /// Version that the next received change applies to.
         base: ConfigurationVersion,
-        /// Version held.
+        /// Version of the held configuration.
         held: ConfigurationVersion,
     },
-    /// The encoding is broken.
-    #[error("changes do not decode: {0}")]
+    /// The bytes are not valid encoded changes.
+    #[error("cannot decode changes: {0}")]
     Encoding(#[from] serde_json::Error),
 }
 
@@ -111,7 +113,7 @@
 named!(BackEnd, Model, Adapter, Tenant, Service, Selector);
 
 impl Difference {
-    /// What turns `before` into `after`.
+    /// Computes the difference that turns `before` into `after`.
     pub fn between(before: &Document, after: &Document) -> Self {
         Difference {
             limits: (before.limits != after.limits).then(|| after.limits.clone()),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Whether nothing differs.
+    /// Whether the documents are equal.
     pub fn is_empty(&self) -> bool {
         *self == Difference::default()
     }
@@ -167,7 +169,7 @@
     }
 }
 
-/// Encodes changes for a message.
+/// Encodes consecutive changes for a message; none if there are no changes.
 pub fn encode(changes: &[Change]) -> Option<EncodedChanges> {
     let first = changes.first()?;
     let last = changes.last()?;
@@ -179,8 +181,8 @@
 }
 
 impl Configuration {
-    /// The configuration after encoded changes; those already held are passed
-    /// over, so the version never falls.
+    /// Returns the configuration after encoded changes, and the changes applied.
+    /// Changes up to the held version are skipped, so the version never falls.
     pub fn with_changes(
         &self,
         encoded: &EncodedChanges,
--- a/crates/stacktack-core/src/configuration/eligibility.rs
+++ b/crates/stacktack-core/src/configuration/eligibility.rs
@@ -1,4 +1,5 @@
-//! Which back ends selectors leave for a request.
+//! Eligibility of back ends for a request: served models and services, drains
+//! and selectors.
 
 use serde::{Deserialize, Serialize};
 use stacktack_wire::identity::NodeId;
@@ -8,12 +9,12 @@
 use super::selector::{matches_all, Labels, Selector};
 use super::Configuration;
 
-/// What a request asks for.
+/// Model or service that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Target {
-    /// A model or adapter.
+    /// Name of a model or adapter.
     Model(String),
-    /// A plain service.
+    /// Name of a plain service.
     Service(String),
 }
 
@@ -21,11 +22,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutReason {
-    /// It does not serve the model or service.
+    /// The back end does not serve the model or service.
     NotServed,
-    /// Operators drained it.
+    /// Operators drained the back end.
     Drained,
-    /// A selector excludes it.
+    /// The selector of this name excludes the back end.
     Selector(String),
 }
 
@@ -34,21 +35,21 @@
 pub struct Cut {
     /// The back end.
     pub node: NodeId,
-    /// Why.
+    /// Why the back end is not eligible.
     pub reason: CutReason,
 }
 
-/// Back ends that may serve a request, and those that may not.
+/// Configured back ends, divided by whether they may serve a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     /// Eligible back ends, in configuration order.
     pub eligible: Vec<NodeId>,
-    /// The others among those configured.
+    /// Back ends that are not eligible, in configuration order.
     pub cut: Vec<Cut>,
 }
 
 impl Pool {
-    /// Names of the selectors that cut back ends, each once.
+    /// Sorted names of the selectors that exclude back ends, each once.
     pub fn cutting_selectors(&self) -> Vec<&str> {
         let mut names: Vec<&str> = self
             .cut
@@ -64,7 +65,8 @@
     }
 }
 
-/// Applies what is served, drains and selectors to every back end.
+/// Divides all configured back ends by served models and services, drains and
+/// selectors.
 pub fn pool(
     configuration: &Configuration,
     tenant: &Tenant,
@@ -72,7 +74,7 @@
     priority: Priority,
 ) -> Pool {
     let model_labels = labels_of(configuration, target);
-    let concerned: Vec<&Selector> = configuration
+    let applicable: Vec<&Selector> = configuration
         .document
         .selectors
         .iter()
@@ -81,7 +83,7 @@
     let mut pool = Pool::default();
     for back_end in &configuration.document.back_ends {
         let node = NodeId::of(&back_end.name);
-        match cut_reason(configuration, back_end, target, &concerned) {
+        match cut_reason(configuration, back_end, target, &applicable) {
             None => pool.eligible.push(node),
             Some(reason) => pool.cut.push(Cut { node, reason }),
         }
--- a/crates/stacktack-core/src/configuration/mod.rs
+++ b/crates/stacktack-core/src/configuration/mod.rs
@@ -1,8 +1,9 @@
-//! What operators write, and what every process acts on.
+//! Configuration of the fleet: documents, their changes, and their storage.
 //!
-//! A [`Document`](document::Document) is parsed and validated as a whole. A
-//! [`Configuration`] is an accepted document with its version and indexes;
-//! processes hold it behind an `Arc` and replace it only by a later version.
+//! Operators write a [`Document`](document::Document), which is parsed and
+//! validated as a whole. A [`Configuration`] is an accepted document with its
+//! version and indexes; processes hold it behind an `Arc` and replace it only by
+//! a newer version.
 
 pub mod apply;
 pub mod change;
@@ -26,7 +27,7 @@
 pub struct Configuration {
     /// Version under which the document was accepted.
     pub version: ConfigurationVersion,
-    /// The document.
+    /// The accepted document.
     pub document: Document,
     back_end_index: HashMap<NodeId, usize>,
     tenant_index: HashMap<TenantId, usize>,
@@ -51,35 +52,36 @@
         }
     }
 
-    /// The empty configuration of a process that has not got one yet.
+    /// The empty configuration, for a process that has not received one yet.
     pub fn empty() -> Arc<Self> {
         Arc::new(Configuration::default())
     }
 
-    /// A back end by its identifier.
+    /// Looks up a back end by its identifier.
     pub fn back_end(&self, node: NodeId) -> Option<&BackEnd> {
         let position = *self.back_end_index.get(&node)?;
         self.document.back_ends.get(position)
     }
 
-    /// A tenant by its identifier.
+    /// Looks up a tenant by its identifier.
     pub fn tenant(&self, tenant: TenantId) -> Option<&Tenant> {
         let position = *self.tenant_index.get(&tenant)?;
         self.document.tenants.get(position)
     }
 
-    /// The tenant whose key this is.
+    /// Looks up a tenant by one of its keys.
     pub fn tenant_of_key(&self, key: &str) -> Option<&Tenant> {
         let position = *self.key_index.get(&hash_key(key))?;
         self.document.tenants.get(position)
     }
 
-    /// Labels of a model or adapter; none when it is not configured.
+    /// Labels of a model or adapter, an adapter's including those of its model;
+    /// none if the name is not configured.
     pub fn model_labels(&self, name: &str) -> Option<&Labels> {
         self.model_labels.get(name)
     }
 
-    /// A plain service by its name.
+    /// Looks up a plain service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.document
             .services
@@ -87,7 +89,7 @@
             .find(|service| service.name == name)
     }
 
-    /// Name of a back end, for people.
+    /// Name of a back end for display; its identifier if it is not configured.
     pub fn node_name(&self, node: NodeId) -> String {
         match self.back_end(node) {
             Some(back_end) => back_end.name.clone(),
@@ -96,7 +98,7 @@
     }
 }
 
-/// SHA-256 of a tenant's key, in hexadecimal, as configured.
+/// SHA-256 of a tenant's key in lower-case hexadecimal.
 pub fn hash_key(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/stacktack-core/src/configuration/selector.rs
+++ b/crates/stacktack-core/src/configuration/selector.rs
@@ -1,39 +1,39 @@
-//! Label selectors.
+//! Label selectors, which restrict traffic to matching back ends.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use stacktack_wire::message::Priority;
 
-/// Labels of an object: key to value.
+/// Labels of a configured entry: key to value.
 pub type Labels = BTreeMap<String, String>;
 
-/// One condition on one label. Exactly one of the tests has to be given;
-/// [`Requirement::test_count`] is checked by validation.
+/// One condition on one label. Exactly one of the tests must be present, which
+/// validation checks by [`Requirement::test_count`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Requirement {
     /// Label key.
     pub key: String,
-    /// The label's value has to be this one.
+    /// The label must have this value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub equals: Option<String>,
-    /// The label's value must not be this one; an absent label passes.
+    /// The label must not have this value; an absent label passes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_equals: Option<String>,
-    /// The label's value has to be one of these.
+    /// The label must have one of these values.
     #[serde(default, rename = "in", skip_serializing_if = "Option::is_none")]
     pub one_of: Option<Vec<String>>,
-    /// The label's value must be none of these; an absent label passes.
+    /// The label must have none of these values; an absent label passes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_in: Option<Vec<String>>,
-    /// The label has to be present (true) or absent (false).
+    /// The label must be present (true) or absent (false).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub exists: Option<bool>,
 }
 
 impl Requirement {
-    /// Number of tests that are given.
+    /// Number of tests that are present.
     pub fn test_count(&self) -> usize {
         usize::from(self.equals.is_some())
             + usize::from(self.not_equals.is_some())
@@ -42,7 +42,7 @@
             + usize::from(self.exists.is_some())
     }
 
-    /// Whether labels meet the condition.
+    /// Whether the labels meet the condition.
     pub fn matches(&self, labels: &Labels) -> bool {
         let value = labels.get(&self.key);
         let equals = self.equals.as_ref().is_none_or(|want| value == Some(want));
@@ -63,36 +63,36 @@
     }
 }
 
-/// Whether labels meet every condition; an empty list is met by all.
+/// Whether the labels meet every condition; any labels meet an empty list.
 pub fn matches_all(requirements: &[Requirement], labels: &Labels) -> bool {
     requirements
         .iter()
         .all(|requirement| requirement.matches(labels))
 }
 
-/// Which traffic a selector is about; empty lists match all.
+/// Traffic that a selector applies to; an empty list matches all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficMatch {
     /// Conditions on the tenant's labels.
     #[serde(default)]
     pub tenant: Vec<Requirement>,
-    /// Conditions on the model's labels; services have none.
+    /// Conditions on the labels of the model or adapter; a service has no labels.
     #[serde(default)]
     pub model: Vec<Requirement>,
-    /// Priorities.
+    /// Matching priorities.
     #[serde(default)]
     pub priority: Vec<Priority>,
 }
 
-/// A rule: traffic that matches may only go to back ends that match. Traffic
-/// that several selectors match needs back ends that meet them all.
+/// Restricts matching traffic to matching back ends. Traffic that several
+/// selectors match needs back ends that match all of them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Selector {
-    /// Unique name, shown by refusals and explanations.
+    /// Unique name, shown in refusals and in the explanation of a decision.
     pub name: String,
-    /// Traffic that the selector is about.
+    /// Traffic that the selector applies to.
     #[serde(default)]
     pub traffic: TrafficMatch,
     /// Conditions on the back end's labels.
@@ -100,7 +100,7 @@
 }
 
 impl Selector {
-    /// Whether the selector is about the traffic.
+    /// Whether the selector applies to traffic of a tenant, model and priority.
     pub fn applies_to(&self, tenant: &Labels, model: &Labels, priority: Priority) -> bool {
         let priority_matches =
             self.traffic.priority.is_empty() || self.traffic.priority.contains(&priority);
--- a/crates/stacktack-core/src/configuration/store.rs
+++ b/crates/stacktack-core/src/configuration/store.rs
@@ -1,11 +1,11 @@
-//! How the configuration is kept in the platform's services.
+//! Storage layout of the configuration in the platform's services.
 //!
-//! - Row `config/head`: a [`HeadRow`]. Moving it by a conditional write is the
-//!   acceptance of a change.
+//! - Row `config/head`: a [`HeadRow`]. Moving the head by a conditional write
+//!   accepts a change.
 //! - Row `config/change/{change id}`: a [`ChangeRow`], written before the head
-//!   moves. Each names the change before it, so readers walk back from the
-//!   head; a change whose head move was lost in a race is never reached.
-//! - Object `config/snapshot/{version}/{change id}`: a whole document, for
+//!   moves. Each change names its predecessor, so readers follow the chain back
+//!   from the head and never reach a change that lost the race for the head.
+//! - Object `config/snapshot/{version}/{change id}`: a complete document, for
 //!   processes that start.
 
 use serde::{Deserialize, Serialize};
@@ -18,59 +18,59 @@
 /// Key of the head row.
 pub const HEAD_KEY: &str = "config/head";
 
-/// Changes between two snapshots.
+/// Number of versions after which a new snapshot is written.
 pub const SNAPSHOT_INTERVAL: u64 = 32;
 
 /// Value of the head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// Version accepted last.
+    /// Version that was accepted last.
     pub version: ConfigurationVersion,
-    /// Its change.
+    /// Identifier of the change that led to this version.
     pub change_id: String,
-    /// The last snapshot.
+    /// Latest snapshot; none before the first.
     pub snapshot: Option<SnapshotReference>,
 }
 
-/// Names a snapshot.
+/// Reference to a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotReference {
     /// Version of the document.
     pub version: ConfigurationVersion,
-    /// Change that led to it.
+    /// Identifier of the change that led to the document.
     pub change_id: String,
 }
 
 impl SnapshotReference {
-    /// Key of the snapshot's object. The change is part of it, so that two
-    /// operators who race never write the same object.
+    /// Key of the snapshot's object. The key contains the change's identifier, so
+    /// that two operators who race never write the same object.
     pub fn key(&self) -> String {
         format!("config/snapshot/{}/{}", self.version, self.change_id)
     }
 
-    /// Path of the object in the platform's object store.
+    /// URL path of the object in the platform's object store.
     pub fn path(&self) -> String {
         format!("/objects/{}", self.key())
     }
 }
 
-/// Value of a change's row.
+/// Value of the row of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRow {
-    /// The change.
+    /// The stored change.
     pub change: Change,
-    /// The change before it; none for the first.
+    /// Identifier of the preceding change; none for the first.
     pub previous: Option<String>,
 }
 
-/// Object of a snapshot.
+/// Content of a snapshot's object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotObject {
     /// Version of the document.
     pub version: ConfigurationVersion,
-    /// Change that led to it.
+    /// Identifier of the change that led to the document.
     pub change_id: String,
-    /// The document.
+    /// The complete document.
     pub document: Document,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Key of a change's row.
+/// Key of the row of a change.
 pub fn change_key(change_id: &str) -> String {
     format!("config/change/{change_id}")
 }
--- a/crates/stacktack-core/src/configuration/validation.rs
+++ b/crates/stacktack-core/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of a document as a whole: every fault is reported at once.
+//! Validation of configuration documents, which reports all invalid fields at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,14 +9,14 @@
 use super::document::{BackEnd, BackEndKind, Document};
 use super::selector::Requirement;
 
-/// One fault of a document.
+/// An invalid field of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidField {
-    /// Path of the field, such as `back_end.engine-1.capacity`.
+    /// Path of the field, for example `back_end.engine-1.capacity`.
     pub field: String,
-    /// The value given.
+    /// Value in the document.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -30,55 +30,55 @@
     }
 }
 
-/// A document is not acceptable.
+/// Why a document is not accepted.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// The text is no document.
-    #[error("configuration does not parse: {0}")]
+    /// The text is not a TOML document of the expected structure.
+    #[error("cannot parse configuration: {0}")]
     Parse(#[from] toml::de::Error),
-    /// Fields are out of range, dangling or doubled.
-    #[error("configuration has {} fault(s): {}", .0.len(), join(.0))]
+    /// Fields are out of range, refer to missing entries, or are not unique.
+    #[error("configuration has {} invalid field(s): {}", .0.len(), join(.0))]
     InvalidFields(Vec<InvalidField>),
 }
 
-fn join(faults: &[InvalidField]) -> String {
-    let lines: Vec<String> = faults.iter().map(InvalidField::to_string).collect();
+fn join(errors: &[InvalidField]) -> String {
+    let lines: Vec<String> = errors.iter().map(InvalidField::to_string).collect();
     lines.join("; ")
 }
 
 /// Parses and validates a document.
 pub fn parse(text: &str) -> Result<Document, DocumentError> {
     let document: Document = toml::from_str(text)?;
-    let faults = validate(&document);
-    if faults.is_empty() {
+    let errors = validate(&document);
+    if errors.is_empty() {
         Ok(document)
     } else {
-        Err(DocumentError::InvalidFields(faults))
+        Err(DocumentError::InvalidFields(errors))
     }
 }
 
-/// All faults of a document.
+/// Returns all invalid fields of a document.
 pub fn validate(document: &Document) -> Vec<InvalidField> {
-    let mut checker = Checker::default();
-    checker.check_limits(document);
-    checker.check_names(document);
+    let mut validator = Validator::default();
+    validator.check_limits(document);
+    validator.check_names(document);
     for back_end in &document.back_ends {
-        checker.check_back_end(document, back_end);
+        validator.check_back_end(document, back_end);
     }
-    checker.check_adapters(document);
-    checker.check_tenants(document);
-    checker.check_selectors(document);
-    checker.faults
+    validator.check_adapters(document);
+    validator.check_tenants(document);
+    validator.check_selectors(document);
+    validator.errors
 }
 
 #[derive(Default)]
-struct Checker {
-    faults: Vec<InvalidField>,
+struct Validator {
+    errors: Vec<InvalidField>,
 }
 
-impl Checker {
-    fn report(&mut self, field: String, value: impl fmt::Display, allowed: &str) {
-        self.faults.push(InvalidField {
+impl Validator {
+    fn reject(&mut self, field: String, value: impl fmt::Display, allowed: &str) {
+        self.errors.push(InvalidField {
             field,
             value: value.to_string(),
             allowed: allowed.to_string(),
@@ -93,7 +93,7 @@
         high: T,
     ) {
         if !(value >= low && value <= high) {
-            self.report(field, value, &format!("allowed is {low} to {high}"));
+            self.reject(field, value, &format!("allowed is {low} to {high}"));
         }
     }
 
@@ -131,14 +131,14 @@
         let mut seen = BTreeSet::new();
         for name in names {
             if name.is_empty() {
-                self.report(
+                self.reject(
                     format!("{kind}.name"),
                     "\"\"",
                     "allowed is a non-empty name",
                 );
             }
             if !seen.insert(name) {
-                self.report(format!("{kind}.name"), name, "allowed is each name once");
+                self.reject(format!("{kind}.name"), name, "allowed is each name once");
             }
         }
     }
@@ -155,7 +155,7 @@
             if let Some(earlier) = earlier.filter(|earlier| *earlier != name) {
                 let allowed =
                     format!("its identifier is that of {earlier}; allowed is another name");
-                self.report(format!("{kind}.name"), name, &allowed);
+                self.reject(format!("{kind}.name"), name, &allowed);
             }
         }
     }
@@ -166,20 +166,20 @@
         self.range(field("concurrency"), back_end.concurrency, 1, 10_000);
         for model in &back_end.models {
             if !document.models.iter().any(|entry| &entry.name == model) {
-                self.report(field("models"), model, "allowed is a configured model");
+                self.reject(field("models"), model, "allowed is a configured model");
             }
         }
         match (back_end.kind, &back_end.service) {
             (BackEndKind::Engine, None) => {}
             (BackEndKind::Engine, Some(service)) => {
-                self.report(
+                self.reject(
                     field("service"),
                     service,
                     "allowed only where kind is service",
                 );
             }
             (BackEndKind::Service, None) => {
-                self.report(
+                self.reject(
                     field("service"),
                     "absent",
                     "allowed is a configured service",
@@ -187,7 +187,7 @@
             }
             (BackEndKind::Service, Some(service)) => {
                 if !document.services.iter().any(|entry| &entry.name == service) {
-                    self.report(field("service"), service, "allowed is a configured service");
+                    self.reject(field("service"), service, "allowed is a configured service");
                 }
             }
         }
@@ -201,7 +201,7 @@
                 .any(|entry| entry.name == adapter.model)
             {
                 let field = format!("adapter.{}.model", adapter.name);
-                self.report(field, &adapter.model, "allowed is a configured model");
+                self.reject(field, &adapter.model, "allowed is a configured model");
             }
         }
     }
@@ -217,11 +217,11 @@
                 let hexadecimal = hash.chars().all(|digit| digit.is_ascii_hexdigit());
                 if hash.len() != 64 || !hexadecimal {
                     let allowed = "allowed is a SHA-256 of 64 hexadecimal digits";
-                    self.report(field("key_hashes"), hash, allowed);
+                    self.reject(field("key_hashes"), hash, allowed);
                 }
                 let owner = owners.insert(hash.to_ascii_lowercase(), &tenant.name);
                 if owner.is_some() {
-                    self.report(field("key_hashes"), hash, "allowed is each key once");
+                    self.reject(field("key_hashes"), hash, "allowed is each key once");
                 }
             }
         }
@@ -246,7 +246,7 @@
             if requirement.test_count() != 1 {
                 let allowed =
                     "allowed is exactly one of equals, not_equals, in, not_in, exists for a key";
-                self.report(
+                self.reject(
                     format!("{field}.{}", requirement.key),
                     requirement.test_count(),
                     allowed,
--- a/crates/stacktack-core/src/gate/admission.rs
+++ b/crates/stacktack-core/src/gate/admission.rs
@@ -1,12 +1,12 @@
-//! Whether an offered attempt is taken in.
+//! Admission control of offered attempts.
 //!
-//! The order of the checks is the order of certainty: identity and rules
-//! first, then limits, then predictions.
+//! The checks run in order of certainty: identity and configuration first,
+//! then limits, then predictions.
 
 use stacktack_wire::identity::NodeId;
 use stacktack_wire::message::{Offer, Payload, Refusal};
 
-use super::{Gate, REPEAT_AT_ONCE_MS};
+use super::{Gate, IMMEDIATE_RETRY_MS};
 use crate::configuration::document::{BackEnd, BackEndKind};
 use crate::configuration::eligibility::{serves, Target};
 use crate::configuration::Configuration;
@@ -14,28 +14,29 @@
 use crate::protection::Protection;
 use crate::time::Time;
 
-/// Work units of a plain service's call.
+/// Work units of one call of a plain service.
 const SERVICE_WORK: f64 = 1.0;
 
-/// Shortest and longest time to come back that a refusal names, in ms.
+/// Shortest and longest retry-after time in a refusal, in milliseconds.
 const RETRY_AFTER_RANGE_MS: (f64, f64) = (50.0, 30_000.0);
 
-/// Result of the checks.
+/// Result of the admission checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// Taken in: starts now or waits.
+    /// The attempt is admitted: it starts now or waits in the queue.
     Admit,
-    /// Certainly not run.
+    /// The attempt is refused and certainly does not run.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// Milliseconds after which a repeat makes sense.
+        /// Milliseconds after which a retry is worthwhile.
         retry_after_ms: u32,
     },
 }
 
-/// Back ends whose loads make the mean for `node`: those that serve the same
-/// service or one of the same models, without `node`.
+/// Back ends whose loads enter the mean that the load bound of `node` uses:
+/// those that are not drained and serve the same service or one of the same
+/// models, without `node` itself.
 pub fn peers_of(configuration: &Configuration, node: NodeId) -> Vec<NodeId> {
     let Some(own) = configuration.back_end(node) else {
         return Vec::new();
@@ -57,8 +58,8 @@
 }
 
 impl Gate {
-    /// Work units that an offer adds here: uncached prompt tokens and expected
-    /// decode tokens; a constant for a service.
+    /// Work units that an offer adds to this back end: uncached prompt tokens
+    /// plus expected decode tokens, or a constant for a service.
     pub(super) fn work_of(&self, offer: &Offer) -> f64 {
         match &offer.payload {
             Payload::Service { .. } => SERVICE_WORK,
@@ -70,30 +71,31 @@
         }
     }
 
-    /// Milliseconds until `work` units are expected to have drained.
+    /// Milliseconds until `work` units are expected to have finished, within
+    /// [`RETRY_AFTER_RANGE_MS`].
     pub(super) fn retry_after_ms(&self, work: f64) -> u32 {
-        let milliseconds = work / self.load.drain_rate() * 1_000.0;
+        let milliseconds = work / self.load.completion_rate() * 1_000.0;
         milliseconds.clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1) as u32
     }
 
-    pub(super) fn admit(&mut self, now: Time, offer: &Offer) -> AdmissionDecision {
-        self.observe_collected(now, offer);
-        let rules = self
+    pub(super) fn decide_admission(&mut self, now: Time, offer: &Offer) -> AdmissionDecision {
+        self.observe_collected_loads(now, offer);
+        let refusal = self
             .check_identity(offer)
             .or_else(|| self.check_target(offer))
             .or_else(|| self.check_tenant(offer));
-        if let Some(refusal) = rules {
-            let retry_after_ms = REPEAT_AT_ONCE_MS;
+        if let Some(refusal) = refusal {
+            let retry_after_ms = IMMEDIATE_RETRY_MS;
             return AdmissionDecision::Refuse {
                 refusal,
                 retry_after_ms,
             };
         }
-        let limits = self
+        let limit_refusal = self
             .check_bound(now, offer)
             .or_else(|| self.check_queue())
             .or_else(|| self.check_deadline(offer));
-        match limits {
+        match limit_refusal {
             None => AdmissionDecision::Admit,
             Some((refusal, excess)) => AdmissionDecision::Refuse {
                 refusal,
@@ -102,7 +104,7 @@
         }
     }
 
-    fn observe_collected(&mut self, now: Time, offer: &Offer) {
+    fn observe_collected_loads(&mut self, now: Time, offer: &Offer) {
         for report in &offer.collected {
             self.peer_loads
                 .observe(report.node, f64::from(report.load), now);
@@ -152,8 +154,9 @@
         }
     }
 
-    /// The bound is about engines. Calls of a service end before news of loads
-    /// has spread; its queue and concurrency limit them.
+    /// Checks the load bound, which applies to engines only: calls of a service
+    /// end before load reports have spread, so its queue and its concurrency
+    /// limit them instead. Returns the refusal and the work units in excess.
     fn check_bound(&self, now: Time, offer: &Offer) -> Option<(Refusal, f64)> {
         let is_service = matches!(offer.payload, Payload::Service { .. });
         if is_service || !self.protections.is_enabled(Protection::LoadBound) {
@@ -162,7 +165,7 @@
         let cap = self.configuration.document.limits.load_cap;
         let work = self.work_of(offer) / self.capacity();
         let load = self.normalised_load();
-        let mean = self.mean_with(now, offer, work);
+        let mean = self.mean_load_with(now, offer, work);
         if within_bound(load, work, cap, mean) {
             return None;
         }
@@ -170,27 +173,28 @@
         Some((Refusal::OverCap, excess))
     }
 
-    /// Mean load of the pool with the offered work. A last resort counts the
-    /// loads that the router collected from the request's own pool, where that
-    /// is higher: selectors may confine a tenant to part of the back ends.
-    fn mean_with(&self, now: Time, offer: &Offer, work: f64) -> f64 {
+    /// Mean load of the pool with the offered work. For a last-resort offer,
+    /// the mean of the loads that the router collected from the request's own
+    /// pool counts where it is higher, because selectors may confine a tenant
+    /// to part of the back ends.
+    fn mean_load_with(&self, now: Time, offer: &Offer, work: f64) -> f64 {
         let (sum, count) = self.peer_loads.sum(&self.peers, now);
         let mean = (sum + self.normalised_load() + work) / (count + 1) as f64;
         if !offer.last_resort || offer.collected.is_empty() {
             return mean;
         }
-        let pool: f64 = offer
+        let collected: f64 = offer
             .collected
             .iter()
             .map(|report| f64::from(report.load))
             .sum();
-        mean.max((pool + work) / offer.collected.len() as f64)
+        mean.max((collected + work) / offer.collected.len() as f64)
     }
 
     fn check_queue(&self) -> Option<(Refusal, f64)> {
         let limit = self.configuration.document.limits.queue_length as usize;
-        let waits = self.running >= self.concurrency();
-        if waits && self.queue.len() >= limit {
+        let must_wait = self.running >= self.concurrency();
+        if must_wait && self.queue.len() >= limit {
             return Some((Refusal::QueueFull, self.queue.work() / 2.0));
         }
         None
@@ -206,7 +210,7 @@
             .tenant(offer.tenant)
             .map_or(1.0, |tenant| tenant.weight);
         let ahead = self.queue.work_ahead(offer.tenant, weight);
-        let wait_ms = ahead / self.load.drain_rate() * 1_000.0;
+        let wait_ms = ahead / self.load.completion_rate() * 1_000.0;
         if wait_ms <= deadline_ms {
             return None;
         }
--- a/crates/stacktack-core/src/gate/attempt.rs
+++ b/crates/stacktack-core/src/gate/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt as the gate sees it, and its state chart.
+//! State of one attempt at a gate, and the state chart that governs it.
 
 use serde::Deserialize;
 use stacktack_wire::identity::{ChatId, TenantId};
@@ -9,22 +9,22 @@
 use crate::chart::Chart;
 use crate::time::Time;
 
-/// The chart of an attempt at an agent.
+/// Source text of the attempt's state chart, from `charts/`.
 pub const CHART: &str = include_str!("../../../../charts/gate_attempt.toml");
 
 /// States of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Not heard of.
+    /// No message about the attempt has been handled.
     New,
-    /// Waiting.
+    /// Waiting in the queue.
     Queued,
     /// Sent to the back end.
     Running,
-    /// Whole answer.
+    /// Ended with a complete response.
     Finished,
-    /// Ended without a whole answer; it may have run.
+    /// Ended without a complete response; it may have run.
     Failed,
     /// Certainly not run; copies of the offer are refused.
     Refused,
@@ -36,86 +36,89 @@
 pub enum Event {
     /// Admitted to the queue.
     Queue,
-    /// Its turn.
+    /// The attempt gets a free slot of the back end.
     Start,
-    /// Not admitted, or given up while it waited.
+    /// Not admitted, or its deadline passed in the queue.
     Refuse,
     /// Withdrawn by the router.
     Cancel,
-    /// The back end's answer is whole.
+    /// The back end's response is complete.
     Finish,
-    /// The back end's answer broke.
+    /// The back end's response broke off or is invalid.
     Break,
     /// The back end certainly did not run it.
     BackendRefuse,
-    /// A router asks what became of it.
+    /// A router asks for the fate of the attempt.
     AskFate,
 }
 
-/// Actions on transitions.
+/// Actions of the chart's transitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     /// Put the attempt into the queue.
     Enqueue,
-    /// Tell the router that it waits.
+    /// Tell the router that the attempt waits.
     ReportQueued,
-    /// Send it to the back end.
+    /// Send the attempt to the back end.
     StartBackend,
-    /// Tell the router that it started.
+    /// Tell the router that the attempt started.
     ReportStarted,
-    /// Take its work off the load and fill its place.
+    /// Subtract the attempt's work from the load and free its slot or queue
+    /// position.
     Release,
-    /// Tell the router that it did not run.
+    /// Tell the router that the attempt did not run.
     ReportRefused,
-    /// Tell the router that its answer is whole.
+    /// Tell the router that the response is complete.
     ReportFinished,
-    /// Tell the router that it ended without a whole answer.
+    /// Tell the router that the attempt ended without a complete response.
     ReportFailed,
-    /// Stop the back end's work on it.
+    /// Stop the back end's work on the attempt.
     CancelBackend,
-    /// Answer a question about its fate.
+    /// Tell the router the fate of the attempt.
     ReportFate,
 }
 
 /// Chart type of an attempt at an agent.
 pub type AttemptChart = Chart<State, Event, Action>;
 
-/// One attempt.
+/// What a gate holds about one attempt.
 #[derive(Debug)]
 pub struct AttemptEntry {
-    /// Its state.
+    /// State in the chart.
     pub state: State,
-    /// Connection that gets its messages; none after that was lost.
+    /// Connection that gets messages about the attempt; none after it was lost.
     pub connection: Option<ConnectionId>,
-    /// When the connection was lost.
+    /// When the connection was lost; none while there is one.
     pub orphaned_at: Option<Time>,
-    /// The offer, until it is started.
+    /// The offer; none once the attempt has started or ended.
     pub offer: Option<Box<Offer>>,
-    /// The tenant.
+    /// Tenant of the request; none before admission.
     pub tenant: Option<TenantId>,
-    /// The chat.
+    /// Chat that the request continues, if any.
     pub chat: Option<ChatId>,
-    /// Work units it adds to the load; 0 once released.
+    /// Work units that count in the load; 0 before admission and once released.
     pub work: f64,
-    /// Time after which it is no use to start.
+    /// Caller's deadline, after which a queued attempt is refused.
     pub deadline: Option<Time>,
-    /// Whether its back end work is stopped when nobody wants the answer.
+    /// Whether a running attempt is cancelled when its router stays away, and
+    /// its broken stream is resumed: true for chats, false for calls of a
+    /// service.
     pub cancellable: bool,
-    /// Why it was refused.
+    /// Reason to report if the attempt is refused.
     pub refusal: Refusal,
-    /// How it failed.
+    /// Reason to report if the attempt failed.
     pub failure: Failure,
-    /// Milliseconds after which a refused offer may be repeated.
+    /// Milliseconds after which a refused offer may be retried.
     pub retry_after_ms: u32,
-    /// The answer so far.
+    /// Response received from the back end so far.
     pub response: ResponseBuffer,
-    /// Times the back end's stream was resumed.
+    /// Number of times that the back end's stream was resumed.
     pub resumes: u32,
 }
 
 impl AttemptEntry {
-    /// An attempt not heard of before.
+    /// Creates the entry of an attempt that was not known before.
     pub fn new(state: State, connection: ConnectionId) -> Self {
         AttemptEntry {
             state,
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Whether it has ended in any way.
+    /// Whether the attempt finished, failed or was refused.
     pub fn is_ended(&self) -> bool {
         matches!(self.state, State::Finished | State::Failed | State::Refused)
     }
--- a/crates/stacktack-core/src/gate/back_end.rs
+++ b/crates/stacktack-core/src/gate/back_end.rs
@@ -1,11 +1,11 @@
-//! What the back end behind a gate does with its attempts.
+//! Handling of the back end's events about running attempts.
 
 use stacktack_wire::identity::AttemptId;
 use stacktack_wire::message::{Failure, Refusal, Usage};
 
 use super::attempt::{Event, State};
 use super::report::{data_message, head_message, send_to};
-use super::{BackendEvent, Gate, GateOutput, MAXIMUM_RESUMES};
+use super::{BackendEvent, Gate, GateOutput, MAX_RESUMES};
 use crate::time::Time;
 
 impl Gate {
@@ -40,16 +40,16 @@
             }
             BackendEvent::Finished(usage) => {
                 entry.response.usage = usage;
-                self.note_usage(attempt, usage);
+                self.record_usage(attempt, usage);
                 self.step(now, attempt, Event::Finish, outputs);
             }
             BackendEvent::Refused => {
-                self.back_end_refused(now, attempt, Refusal::BackendRefused, outputs)
+                self.on_back_end_refusal(now, attempt, Refusal::BackendRefused, outputs)
             }
             BackendEvent::Unreachable => {
-                self.back_end_refused(now, attempt, Refusal::BackendUnreachable, outputs);
+                self.on_back_end_refusal(now, attempt, Refusal::BackendUnreachable, outputs);
             }
-            BackendEvent::ConnectionBroken => self.on_cut(now, attempt, outputs),
+            BackendEvent::ConnectionBroken => self.on_connection_broken(now, attempt, outputs),
             BackendEvent::InvalidResponse => {
                 entry.failure = Failure::BackendInvalid;
                 self.step(now, attempt, Event::Break, outputs);
@@ -57,17 +57,17 @@
         }
     }
 
-    pub(super) fn note_usage(&mut self, attempt: AttemptId, usage: Usage) {
+    pub(super) fn record_usage(&mut self, attempt: AttemptId, usage: Usage) {
         self.counters.prompt_tokens += u64::from(usage.prompt_tokens);
         self.counters.cached_tokens += u64::from(usage.cached_tokens);
         let chat = self.attempts.get(&attempt).and_then(|entry| entry.chat);
         if let Some(chat) = chat {
             let tokens = usage.prompt_tokens + usage.completion_tokens;
-            self.prefixes.note(chat, tokens);
+            self.prefixes.record(chat, tokens);
         }
     }
 
-    pub(super) fn back_end_refused(
+    pub(super) fn on_back_end_refusal(
         &mut self,
         now: Time,
         attempt: AttemptId,
@@ -75,16 +75,21 @@
         outputs: &mut Vec<GateOutput>,
     ) {
         let retry_after = self.retry_after_ms(0.0);
-        self.note_refusal(attempt, refusal, retry_after);
+        self.record_refusal(attempt, refusal, retry_after);
         self.step(now, attempt, Event::BackendRefuse, outputs);
     }
 
-    pub(super) fn on_cut(&mut self, now: Time, attempt: AttemptId, outputs: &mut Vec<GateOutput>) {
+    pub(super) fn on_connection_broken(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        outputs: &mut Vec<GateOutput>,
+    ) {
         let Some(entry) = self.attempts.get_mut(&attempt) else {
             return;
         };
         entry.failure = Failure::BackendBroken;
-        if !entry.cancellable || entry.resumes >= MAXIMUM_RESUMES {
+        if !entry.cancellable || entry.resumes >= MAX_RESUMES {
             self.step(now, attempt, Event::Break, outputs);
             return;
         }
@@ -92,7 +97,7 @@
         self.counters.resumed += 1;
         outputs.push(GateOutput::ResumeBackend {
             attempt,
-            offset: entry.response.length(),
+            offset: entry.response.piece_count(),
         });
     }
 }
--- a/crates/stacktack-core/src/gate/io.rs
+++ b/crates/stacktack-core/src/gate/io.rs
@@ -1,4 +1,4 @@
-//! What a gate is told and what it wants done.
+//! Inputs, outputs and counters of a gate.
 
 use std::sync::Arc;
 
@@ -15,66 +15,66 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// What the back end did about an attempt.
+/// Event of the back end about one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendEvent {
-    /// Status and content type.
+    /// Status and content type of the response arrived.
     Head(ResponseHead),
-    /// Pieces of the answer from `offset` onwards.
+    /// Pieces of the response arrived.
     Pieces {
         /// Index of the first piece.
         offset: u64,
-        /// The pieces.
+        /// Consecutive pieces of the body.
         pieces: Vec<Bytes>,
     },
-    /// The answer is whole.
+    /// The response is complete.
     Finished(Usage),
-    /// It certainly did not run: refused by the back end.
+    /// The back end refused the attempt, which certainly did not run.
     Refused,
-    /// It certainly did not run: nothing could be sent.
+    /// Nothing could be sent, so the attempt certainly did not run.
     Unreachable,
     /// The connection broke after the request was sent.
     ConnectionBroken,
-    /// The answer makes no sense.
+    /// The response is unusable, such as a body that is too large.
     InvalidResponse,
 }
 
-/// What the gate is told.
+/// Input of a gate.
 #[derive(Debug)]
 pub enum GateInput {
-    /// A message from a router.
+    /// A router sent a message.
     FromRouter {
-        /// Connection that it came on.
+        /// Connection that the message came on.
         connection: ConnectionId,
         /// The message.
         message: ToAgent,
     },
-    /// A router's connection is gone.
+    /// The connection to a router was lost.
     ConnectionLost(ConnectionId),
-    /// The back end did something.
+    /// The back end reported an event.
     FromBackend {
         /// The attempt.
         attempt: AttemptId,
-        /// What it did.
+        /// The event.
         event: BackendEvent,
     },
-    /// Loads of the other back ends that take work, and when each was true;
-    /// those not named are forgotten.
+    /// Loads of the other back ends that accept work, and when each was
+    /// measured; the gate drops loads of back ends that are not listed.
     PeerLoads(Vec<(NodeId, f64, Time)>),
-    /// A later configuration, with the changes that led to it if known.
+    /// A newer configuration was received.
     Configuration {
         /// The configuration.
         configuration: Arc<Configuration>,
-        /// Changes since the one held.
+        /// Changes since the configuration that the gate holds, if known.
         changes: Vec<Change>,
     },
-    /// Take no new work from now on, or take it again.
+    /// Refuse new work from now on (true), or accept it again (false).
     Drain(bool),
-    /// Time passed.
+    /// Periodic call that checks deadlines and retention times.
     Tick,
 }
 
-/// What the gate wants done.
+/// Output of a gate: what its process does next.
 #[derive(Debug, PartialEq)]
 pub enum GateOutput {
     /// Send a message to a router.
@@ -88,38 +88,38 @@
     StartBackend {
         /// The attempt.
         attempt: AttemptId,
-        /// What to run.
+        /// The offer with the payload to run.
         offer: Box<Offer>,
     },
-    /// Take up a broken stream of the back end.
+    /// Resume a broken stream of the back end.
     ResumeBackend {
         /// The attempt.
         attempt: AttemptId,
-        /// First piece wanted.
+        /// Index of the first piece to fetch.
         offset: u64,
     },
-    /// Stop the back end's work.
+    /// Stop the back end's work on an attempt.
     CancelBackend {
         /// The attempt.
         attempt: AttemptId,
     },
 }
 
-/// Counts of what the gate did, for metrics.
+/// Counts since the start of the gate, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounters {
     /// Attempts sent to the back end.
     pub started: u64,
     /// Attempts refused.
     pub refused: u64,
-    /// Attempts with a whole answer.
+    /// Attempts that ended with a complete response.
     pub finished: u64,
-    /// Attempts that ended without one after they started.
+    /// Attempts that started and ended without a complete response.
     pub failed: u64,
-    /// Streams of the back end taken up again.
+    /// Resumptions of broken streams of the back end.
     pub resumed: u64,
     /// Prompt tokens of finished attempts.
     pub prompt_tokens: u64,
-    /// Those of them that were reused from the cache.
+    /// Prompt tokens of finished attempts that came from the prefix cache.
     pub cached_tokens: u64,
 }
--- a/crates/stacktack-core/src/gate/messages.rs
+++ b/crates/stacktack-core/src/gate/messages.rs
@@ -1,4 +1,4 @@
-//! What routers ask of a gate: offers, cancels, fates, resumption.
+//! Handling of messages from routers: offers, cancels, fate queries, resumption.
 
 use std::time::Duration;
 
@@ -52,18 +52,18 @@
         }
         self.attempts
             .insert(attempt, AttemptEntry::new(State::New, connection));
-        match self.admit(now, &offer) {
+        match self.decide_admission(now, &offer) {
             AdmissionDecision::Refuse {
                 refusal,
                 retry_after_ms,
             } => {
-                self.note_refusal(attempt, refusal, retry_after_ms);
+                self.record_refusal(attempt, refusal, retry_after_ms);
                 self.step(now, attempt, Event::Refuse, outputs);
                 self.attach_changes(refusal, offer.version, outputs);
             }
             AdmissionDecision::Admit => {
-                self.take_in(now, offer);
-                let event = if self.has_free_place() {
+                self.record_admission(now, offer);
+                let event = if self.has_free_slot() {
                     Event::Start
                 } else {
                     Event::Queue
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn take_in(&mut self, now: Time, offer: Box<Offer>) {
+    pub(super) fn record_admission(&mut self, now: Time, offer: Box<Offer>) {
         let work = self.work_of(&offer);
         let Some(entry) = self.attempts.get_mut(&offer.attempt) else {
             return;
@@ -83,14 +83,14 @@
         entry.chat = offer.chat;
         entry.deadline = offer
             .deadline_ms
-            .map(|left| now + Duration::from_millis(u64::from(left)));
+            .map(|remaining| now + Duration::from_millis(u64::from(remaining)));
         entry.cancellable = matches!(offer.payload, Payload::Chat { .. });
         *self.tenant_counts.entry(offer.tenant).or_insert(0) += 1;
         entry.offer = Some(offer);
         self.load.add(work);
     }
 
-    pub(super) fn note_refusal(
+    pub(super) fn record_refusal(
         &mut self,
         attempt: AttemptId,
         refusal: Refusal,
@@ -105,7 +105,7 @@
     pub(super) fn attach_changes(
         &self,
         refusal: Refusal,
-        stale: stacktack_wire::identity::ConfigurationVersion,
+        router_version: stacktack_wire::identity::ConfigurationVersion,
         outputs: &mut [GateOutput],
     ) {
         if refusal != Refusal::StaleConfiguration {
@@ -114,12 +114,12 @@
         let missing: Vec<Change> = self
             .changes
             .iter()
-            .filter(|change| change.version > stale)
+            .filter(|change| change.version > router_version)
             .cloned()
             .collect();
         let complete = missing
             .first()
-            .is_some_and(|change| change.version.0 == stale.0 + 1);
+            .is_some_and(|change| change.version.0 == router_version.0 + 1);
         if let Some(GateOutput::ToRouter {
             message: ToRouter::Refused { changes, .. },
             ..
@@ -144,7 +144,7 @@
         outputs: &mut Vec<GateOutput>,
     ) {
         let seen = self.attempts.contains_key(&attempt);
-        let known = if seen {
+        let immediate = if seen {
             None
         } else if incarnation != self.incarnation {
             Some(Fate::Unknown)
@@ -153,7 +153,7 @@
         } else {
             None
         };
-        if let Some(fate) = known {
+        if let Some(fate) = immediate {
             outputs.push(GateOutput::ToRouter {
                 connection,
                 message: ToRouter::FateOf { attempt, fate },
--- a/crates/stacktack-core/src/gate/mod.rs
+++ b/crates/stacktack-core/src/gate/mod.rs
@@ -1,9 +1,10 @@
-//! The single gate before one back end.
+//! Admission control, queue and attempt state of one back end.
 //!
-//! Nothing reaches the back end but through its agent's [`Gate`], so the load
-//! bound, the queue, draining, "not run" and resumption are decided here, where
-//! the truth is, and stay right when routers disagree, restart or hold stale
-//! views. The gate is driven by [`Gate::handle`]; outputs say what to send.
+//! All requests reach the back end through the [`Gate`] of its agent. The gate
+//! therefore enforces the load bound, the queue, draining, the certainty that
+//! an attempt did not run, and resumption, and these stay correct when routers
+//! disagree, restart or hold stale views. [`Gate::handle`] drives the gate; its
+//! outputs say what to send.
 
 pub mod admission;
 pub mod attempt;
@@ -38,24 +39,26 @@
 use prefix::PrefixIndex;
 use queue::FairQueue;
 
-/// Time that a running attempt is kept going after its router's connection
-/// was lost, for the router to come back.
+/// Time for which an attempt continues after the connection to its router was
+/// lost, so that the router can reconnect and resume it.
 pub const ORPHAN_GRACE: Duration = Duration::from_secs(5);
 
-/// Time that the pieces of an ended answer are kept for a router to resume.
+/// Time for which the pieces of a response stay available for resumption after
+/// the attempt ended.
 pub const RESPONSE_RETENTION: Duration = Duration::from_secs(15);
 
-/// Times a back end's stream is resumed before the attempt is given up.
-const MAXIMUM_RESUMES: u32 = 3;
+/// Number of times that a back end's stream is resumed before the attempt fails.
+const MAX_RESUMES: u32 = 3;
 
-/// Changes kept to bring stale routers up to date.
-const CHANGES_KEPT: usize = 64;
+/// Number of configuration changes retained to bring stale routers up to date.
+const MAX_RETAINED_CHANGES: usize = 64;
 
-/// Pause after which a draining back end's refusal should be repeated
-/// elsewhere, in milliseconds.
-const REPEAT_AT_ONCE_MS: u32 = 1;
+/// Retry-after time, in milliseconds, of refusals that do not depend on load,
+/// such as while draining: a retry elsewhere may succeed at once.
+const IMMEDIATE_RETRY_MS: u32 = 1;
 
-/// The gate before one back end.
+/// Decides which attempts reach one back end, and tracks them until their fate
+/// may be forgotten.
 pub struct Gate {
     node: NodeId,
     incarnation: Incarnation,
@@ -66,7 +69,9 @@
     peers: Vec<NodeId>,
     peer_loads: PeerLoads,
     attempts: HashMap<AttemptId, AttemptEntry>,
+    /// Ended attempts whose fate is kept, oldest first.
     ended: VecDeque<(Time, AttemptId)>,
+    /// Ended attempts whose response pieces are kept, oldest first.
     retained: VecDeque<(Time, AttemptId)>,
     queue: FairQueue,
     tenant_counts: HashMap<TenantId, u32>,
@@ -78,7 +83,8 @@
 }
 
 impl Gate {
-    /// A gate with no configuration; it refuses all offers until it has one.
+    /// Creates a gate without configuration; it refuses all offers until it has
+    /// one.
     pub fn new(
         node: NodeId,
         incarnation: Incarnation,
@@ -107,7 +113,7 @@
         })
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Handles one input and appends the resulting outputs.
     pub fn handle(&mut self, now: Time, input: GateInput, outputs: &mut Vec<GateOutput>) {
         match input {
             GateInput::FromRouter {
@@ -126,35 +132,35 @@
             GateInput::Drain(draining) => self.draining = draining,
             GateInput::Tick => self.on_tick(now, outputs),
         }
-        self.fill(now, outputs);
+        self.start_queued(now, outputs);
     }
 
-    /// Attempts that wait or run.
+    /// Number of attempts that wait or run.
     pub fn in_flight(&self) -> usize {
         self.queue.len() + self.running as usize
     }
 
-    /// Whether new work is refused.
+    /// Whether the agent is stopping or operators drained the back end.
     pub fn is_draining(&self) -> bool {
         self.draining || self.own_back_end_drained()
     }
 
-    /// Work units in flight divided by capacity.
+    /// Work units in flight divided by the back end's capacity.
     pub fn normalised_load(&self) -> f64 {
         self.load.work() / self.capacity()
     }
 
-    /// Version in force.
+    /// Configuration in force.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// Counts since start.
+    /// Counts since the gate was created.
     pub fn counters(&self) -> GateCounters {
         self.counters
     }
 
-    /// The hello that opens each connection.
+    /// Message that opens each connection to a router.
     pub fn hello(&self) -> ToRouter {
         ToRouter::Hello {
             agent: self.node,
@@ -187,7 +193,7 @@
         (sum + self.normalised_load()) / (count + 1) as f64
     }
 
-    fn has_free_place(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.queue.is_empty() && self.running < self.concurrency()
     }
 
@@ -205,7 +211,7 @@
         }
         self.configuration = configuration;
         self.changes.extend(changes);
-        while self.changes.len() > CHANGES_KEPT {
+        while self.changes.len() > MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
         self.peers = admission::peers_of(&self.configuration, self.node);
--- a/crates/stacktack-core/src/gate/prefix.rs
+++ b/crates/stacktack-core/src/gate/prefix.rs
@@ -1,16 +1,17 @@
-//! How much of each chat's prompt the back end is thought to have cached.
+//! Estimate of how much of each chat's prompt the back end has cached.
 //!
-//! A hint only: set from what the engine reports as reused or computed with
-//! each answer, lowered by eviction events, dropped on a gap in the events.
+//! The estimate comes from the token counts that the engine reports with each
+//! response. It is only a hint, because the engine may evict cached tokens.
 
 use std::collections::{HashMap, VecDeque};
 
 use stacktack_wire::identity::ChatId;
 
-/// Chats remembered at one agent.
-const MAXIMUM_CHATS: usize = 50_000;
+/// Maximum number of chats that one agent remembers.
+const MAX_CHATS: usize = 50_000;
 
-/// Cached prompt tokens by chat, oldest entries dropped first.
+/// Cached prompt tokens by chat. Chats that were recorded first are dropped
+/// first.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     tokens: HashMap<ChatId, u32>,
@@ -18,18 +19,18 @@
 }
 
 impl PrefixIndex {
-    /// Tokens thought to be cached for a chat.
+    /// Estimated number of cached tokens of a chat; 0 if nothing is known.
     pub fn cached_tokens(&self, chat: Option<ChatId>) -> u32 {
         chat.and_then(|chat| self.tokens.get(&chat).copied())
             .unwrap_or(0)
     }
 
-    /// Notes the tokens that a chat has in the cache now.
-    pub fn note(&mut self, chat: ChatId, tokens: u32) {
+    /// Records the number of tokens that the back end has cached for a chat.
+    pub fn record(&mut self, chat: ChatId, tokens: u32) {
         if self.tokens.insert(chat, tokens).is_none() {
             self.order.push_back(chat);
         }
-        while self.tokens.len() > MAXIMUM_CHATS {
+        while self.tokens.len() > MAX_CHATS {
             let Some(oldest) = self.order.pop_front() else {
                 break;
             };
@@ -37,13 +38,14 @@
         }
     }
 
-    /// Forgets everything: the engine restarted or its events have a gap.
+    /// Forgets all chats, for an engine that restarted or whose cache events
+    /// have a gap.
     pub fn clear(&mut self) {
         self.tokens.clear();
         self.order.clear();
     }
 
-    /// Number of chats known.
+    /// Number of known chats.
     pub fn len(&self) -> usize {
         self.tokens.len()
     }
--- a/crates/stacktack-core/src/gate/queue.rs
+++ b/crates/stacktack-core/src/gate/queue.rs
@@ -1,165 +1,175 @@
-//! The waiting line before a back end: deficit round robin between tenants,
-//! priorities within a tenant.
+//! Queue of a back end: deficit round robin between tenants, priorities within
+//! a tenant.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use stacktack_wire::identity::{AttemptId, TenantId};
 use stacktack_wire::message::Priority;
 
-/// Work units that a tenant of weight 1 may start in one round.
+/// Work units that a tenant of weight 1 earns in one round.
 const QUANTUM: f64 = 512.0;
 
-/// One waiting attempt.
+/// An attempt in the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its work units.
+    /// Work units of the attempt.
     pub work: f64,
 }
 
 #[derive(Debug, Default)]
-struct TenantLine {
+struct TenantQueue {
     weight: f64,
     deficit: f64,
-    lines: BTreeMap<std::cmp::Reverse<Priority>, VecDeque<QueuedAttempt>>,
+    by_priority: BTreeMap<std::cmp::Reverse<Priority>, VecDeque<QueuedAttempt>>,
     length: usize,
 }
 
-impl TenantLine {
+impl TenantQueue {
     fn head(&self) -> Option<QueuedAttempt> {
-        let line = self.lines.values().find(|line| !line.is_empty())?;
-        line.front().copied()
+        let attempts = self
+            .by_priority
+            .values()
+            .find(|attempts| !attempts.is_empty())?;
+        attempts.front().copied()
     }
 
     fn pop(&mut self) -> Option<QueuedAttempt> {
-        let line = self.lines.values_mut().find(|line| !line.is_empty())?;
-        let waiting = line.pop_front()?;
+        let attempts = self
+            .by_priority
+            .values_mut()
+            .find(|attempts| !attempts.is_empty())?;
+        let queued = attempts.pop_front()?;
         self.length -= 1;
-        Some(waiting)
+        Some(queued)
     }
 }
 
-/// Attempts that wait, shared fairly between tenants by their weights.
+/// Queued attempts; tenants share the back end's work in proportion to their
+/// weights.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    tenants: HashMap<TenantId, TenantLine>,
+    tenants: HashMap<TenantId, TenantQueue>,
+    /// Tenants with queued attempts, in round-robin order.
     round: VecDeque<TenantId>,
     length: usize,
     work: f64,
 }
 
 impl FairQueue {
-    /// Number of waiting attempts.
+    /// Number of queued attempts.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Whether no attempt is queued.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Work units that wait.
+    /// Work units of all queued attempts.
     pub fn work(&self) -> f64 {
         self.work
     }
 
-    /// Work that would start before a new attempt of this tenant: its own
-    /// waiting work, and of every other tenant at most the share that its
-    /// weight earns meanwhile.
+    /// Work units that would start before a new attempt of this tenant: the
+    /// tenant's own queued work, and of every other tenant at most the share
+    /// that its weight earns in that time.
     pub fn work_ahead(&self, tenant: TenantId, weight: f64) -> f64 {
         let own = self.tenants.get(&tenant).map_or(0.0, tenant_work);
-        let rounds = own / weight;
+        let work_per_weight = own / weight;
         let others: f64 = self
             .tenants
             .iter()
             .filter(|(other, _)| **other != tenant)
-            .map(|(_, line)| tenant_work(line).min(line.weight * (rounds + QUANTUM)))
+            .map(|(_, queue)| tenant_work(queue).min(queue.weight * (work_per_weight + QUANTUM)))
             .sum();
         own + others
     }
 
-    /// Adds an attempt at the end of its tenant's line.
+    /// Appends an attempt to its tenant's attempts of the same priority.
     pub fn push(
         &mut self,
         tenant: TenantId,
         weight: f64,
         priority: Priority,
-        waiting: QueuedAttempt,
+        queued: QueuedAttempt,
     ) {
-        let line = self.tenants.entry(tenant).or_default();
-        line.weight = weight;
-        if line.length == 0 {
+        let queue = self.tenants.entry(tenant).or_default();
+        queue.weight = weight;
+        if queue.length == 0 {
             self.round.push_back(tenant);
         }
-        line.lines
+        queue
+            .by_priority
             .entry(std::cmp::Reverse(priority))
             .or_default()
-            .push_back(waiting);
-        line.length += 1;
+            .push_back(queued);
+        queue.length += 1;
         self.length += 1;
-        self.work += waiting.work;
+        self.work += queued.work;
     }
 
-    /// Takes the attempt whose turn it is.
+    /// Removes and returns the attempt to start next.
     pub fn pop(&mut self) -> Option<QueuedAttempt> {
         loop {
             let tenant = *self.round.front()?;
-            let line = self.tenants.get_mut(&tenant)?;
-            let Some(head) = line.head() else {
-                self.retire_front(tenant);
+            let queue = self.tenants.get_mut(&tenant)?;
+            let Some(head) = queue.head() else {
+                self.remove_front_tenant(tenant);
                 continue;
             };
-            if line.deficit < head.work {
-                line.deficit += QUANTUM * line.weight;
+            if queue.deficit < head.work {
+                queue.deficit += QUANTUM * queue.weight;
                 self.round.rotate_left(1);
                 continue;
             }
-            line.deficit -= head.work;
-            let waiting = line.pop()?;
-            if line.length == 0 {
-                self.retire_front(tenant);
+            queue.deficit -= head.work;
+            let queued = queue.pop()?;
+            if queue.length == 0 {
+                self.remove_front_tenant(tenant);
             }
             self.length -= 1;
-            self.work -= waiting.work;
-            return Some(waiting);
+            self.work -= queued.work;
+            return Some(queued);
         }
     }
 
-    /// Removes one waiting attempt, wherever it stands.
+    /// Removes a queued attempt; false if it is not queued.
     pub fn remove(&mut self, tenant: TenantId, attempt: AttemptId) -> bool {
-        let Some(line) = self.tenants.get_mut(&tenant) else {
+        let Some(queue) = self.tenants.get_mut(&tenant) else {
             return false;
         };
-        for waiting in line.lines.values_mut() {
-            let Some(position) = waiting.iter().position(|entry| entry.attempt == attempt) else {
+        for attempts in queue.by_priority.values_mut() {
+            let Some(position) = attempts.iter().position(|entry| entry.attempt == attempt) else {
                 continue;
             };
-            if let Some(removed) = waiting.remove(position) {
-                line.length -= 1;
+            if let Some(removed) = attempts.remove(position) {
+                queue.length -= 1;
                 self.length -= 1;
                 self.work -= removed.work;
             }
-            if line.length == 0 {
+            if queue.length == 0 {
                 self.tenants.remove(&tenant);
-                self.round.retain(|waiting| *waiting != tenant);
+                self.round.retain(|other| *other != tenant);
             }
             return true;
         }
         false
     }
 
-    fn retire_front(&mut self, tenant: TenantId) {
+    fn remove_front_tenant(&mut self, tenant: TenantId) {
         self.round.pop_front();
         self.tenants.remove(&tenant);
     }
 }
 
-fn tenant_work(line: &TenantLine) -> f64 {
-    line.lines
+fn tenant_work(queue: &TenantQueue) -> f64 {
+    queue
+        .by_priority
         .values()
         .flatten()
-        .map(|waiting| waiting.work)
+        .map(|queued| queued.work)
         .sum()
 }
--- a/crates/stacktack-core/src/gate/report.rs
+++ b/crates/stacktack-core/src/gate/report.rs
@@ -94,7 +94,7 @@
 ) -> ToRouter {
     ToRouter::Finished {
         attempt,
-        pieces: entry.response.length(),
+        pieces: entry.response.piece_count(),
         usage: entry.response.usage,
         load,
     }
@@ -105,10 +105,10 @@
         State::New | State::Refused => Fate::NotRun,
         State::Queued => Fate::Queued,
         State::Running => Fate::Running {
-            next_offset: entry.response.length(),
+            next_offset: entry.response.piece_count(),
         },
         State::Finished => Fate::Finished {
-            pieces: entry.response.length(),
+            pieces: entry.response.piece_count(),
         },
         State::Failed => Fate::Failed(entry.failure),
     }
--- a/crates/stacktack-core/src/gate/response.rs
+++ b/crates/stacktack-core/src/gate/response.rs
@@ -1,60 +1,62 @@
-//! The answer of one attempt, kept so that a router can resume it.
+//! The response to one attempt, retained so that a router can resume it.
 
 use bytes::{Bytes, BytesMut};
 use stacktack_wire::message::Usage;
 
-/// Status and content type of an answer.
+/// Status and content type of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: String,
 }
 
-/// Pieces of an answer in order, with its head and token counts.
+/// Ordered pieces of a response, with its head and token counts.
 #[derive(Debug, Default)]
 pub struct ResponseBuffer {
-    /// Status and content type, once known.
+    /// Status and content type; none until the back end has sent them.
     pub head: Option<ResponseHead>,
-    /// Token counts, once finished.
+    /// Token counts; zero until the response is complete.
     pub usage: Usage,
     pieces: Vec<Bytes>,
-    forgotten: u64,
+    /// Number of pieces at the start that are no longer held.
+    dropped_count: u64,
 }
 
 impl ResponseBuffer {
-    /// Number of pieces so far.
-    pub fn length(&self) -> u64 {
-        self.forgotten + self.pieces.len() as u64
+    /// Number of pieces received, including dropped ones.
+    pub fn piece_count(&self) -> u64 {
+        self.dropped_count + self.pieces.len() as u64
     }
 
-    /// Appends pieces that begin at `offset`; those already held are passed
-    /// over. Returns the offset of the first new piece and the new pieces, or
-    /// nothing when there is a gap or nothing new.
+    /// Appends pieces that begin at piece index `offset`; pieces received before
+    /// are skipped. Returns the index of the first new piece and the new pieces,
+    /// or none if there is a gap before them or nothing is new.
     pub fn append(&mut self, offset: u64, pieces: Vec<Bytes>) -> Option<(u64, Vec<Bytes>)> {
-        let length = self.length();
-        if offset > length {
+        let count = self.piece_count();
+        if offset > count {
             return None;
         }
-        let held = (length - offset) as usize;
-        let fresh: Vec<Bytes> = pieces.into_iter().skip(held).collect();
+        let known = (count - offset) as usize;
+        let fresh: Vec<Bytes> = pieces.into_iter().skip(known).collect();
         if fresh.is_empty() {
             return None;
         }
         self.pieces.extend(fresh.iter().cloned());
-        Some((length, fresh))
+        Some((count, fresh))
     }
 
-    /// Pieces from `offset` onwards; none when some of them were dropped.
+    /// Pieces from index `offset` onwards; none if some of them were dropped or
+    /// `offset` is past the end.
     pub fn pieces_from(&self, offset: u64) -> Option<&[Bytes]> {
-        let start = offset.checked_sub(self.forgotten)? as usize;
+        let start = offset.checked_sub(self.dropped_count)? as usize;
         self.pieces.get(start..)
     }
 
-    /// Drops the pieces and keeps their number.
-    pub fn forget_pieces(&mut self) {
-        self.forgotten = self.length();
+    /// Drops the held pieces but keeps their count.
+    pub fn drop_pieces(&mut self) {
+        self.dropped_count = self.piece_count();
         self.pieces = Vec::new();
     }
 }
--- a/crates/stacktack-core/src/gate/transition.rs
+++ b/crates/stacktack-core/src/gate/transition.rs
@@ -1,4 +1,4 @@
-//! One step of an attempt by its state chart, and the actions that follow.
+//! Transitions of attempts by the state chart, and the actions that follow.
 
 use stacktack_wire::identity::AttemptId;
 use stacktack_wire::message::Failure;
@@ -9,13 +9,13 @@
 use crate::time::Time;
 
 impl Gate {
-    /// Starts waiting attempts while places are free.
-    pub(super) fn fill(&mut self, now: Time, outputs: &mut Vec<GateOutput>) {
+    /// Starts queued attempts while the back end has free slots.
+    pub(super) fn start_queued(&mut self, now: Time, outputs: &mut Vec<GateOutput>) {
         while self.running < self.concurrency() {
-            let Some(waiting) = self.queue.pop() else {
+            let Some(queued) = self.queue.pop() else {
                 break;
             };
-            self.step(now, waiting.attempt, Event::Start, outputs);
+            self.step(now, queued.attempt, Event::Start, outputs);
         }
     }
 
--- a/crates/stacktack-core/src/gate/upkeep.rs
+++ b/crates/stacktack-core/src/gate/upkeep.rs
@@ -1,4 +1,5 @@
-//! What a gate does as time passes: deadlines, orphans, retention.
+//! Periodic work of a gate: deadlines of queued attempts, cancellation of
+//! orphaned attempts, and retention of responses and fates.
 
 use std::time::Duration;
 
@@ -14,8 +15,8 @@
         self.load.roll_window(now);
         self.refuse_expired(now, outputs);
         self.cancel_orphans(now, outputs);
-        self.drop_old_answers(now);
-        self.drop_old_fates(now);
+        self.drop_expired_responses(now);
+        self.drop_expired_fates(now);
     }
 
     fn refuse_expired(&mut self, now: Time, outputs: &mut Vec<GateOutput>) {
@@ -29,7 +30,7 @@
             .collect();
         for attempt in expired {
             let retry_after = self.retry_after_ms(self.queue.work());
-            self.note_refusal(attempt, Refusal::DeadlineUnreachable, retry_after);
+            self.record_refusal(attempt, Refusal::DeadlineUnreachable, retry_after);
             self.step(now, attempt, Event::Refuse, outputs);
         }
     }
@@ -39,11 +40,11 @@
             .attempts
             .iter()
             .filter(|(_, entry)| {
-                let lost = entry
+                let grace_over = entry
                     .orphaned_at
                     .is_some_and(|at| now.since(at) >= ORPHAN_GRACE);
                 let cancellable = entry.cancellable || entry.state == State::Queued;
-                lost && cancellable && !entry.is_ended()
+                grace_over && cancellable && !entry.is_ended()
             })
             .map(|(attempt, _)| *attempt)
             .collect();
@@ -52,19 +53,19 @@
         }
     }
 
-    fn drop_old_answers(&mut self, now: Time) {
+    fn drop_expired_responses(&mut self, now: Time) {
         while let Some((ended_at, attempt)) = self.retained.front().copied() {
             if now.since(ended_at) < RESPONSE_RETENTION {
                 break;
             }
             self.retained.pop_front();
             if let Some(entry) = self.attempts.get_mut(&attempt) {
-                entry.response.forget_pieces();
+                entry.response.drop_pieces();
             }
         }
     }
 
-    fn drop_old_fates(&mut self, now: Time) {
+    fn drop_expired_fates(&mut self, now: Time) {
         let retention = Duration::from_secs(self.configuration.document.limits.fate_seconds);
         while let Some((ended_at, attempt)) = self.ended.front().copied() {
             if now.since(ended_at) < retention {
--- a/crates/stacktack-core/src/lease.rs
+++ b/crates/stacktack-core/src/lease.rs
@@ -1,10 +1,11 @@
-//! Leases kept as rows of the platform's table, and the fences they give.
+//! Leases stored as rows of the platform's table, and fencing by their epochs.
 //!
-//! A row holds the holder, an epoch that rises with each new holder, and the
-//! identifier of the write. The holder counts the lease from the moment it
-//! *sent* the write that took effect, and stops a margin before it may lapse;
-//! a taker counts from its own first sight of the unchanged row. Neither
-//! compares clocks. A lost reply is settled by reading the row.
+//! A row names the holder, an epoch that rises with each new holder, and the
+//! write. The holder counts the duration of the lease from the time at which it
+//! *sent* the write that took effect, and stops acting a safety margin before
+//! the lease may expire. A contender counts from the time at which it first read
+//! the row in its present version. So nobody compares clocks of different
+//! machines. A lost reply is resolved by reading the row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,23 +17,23 @@
 use crate::protection::{Protection, Protections};
 use crate::time::Time;
 
-/// Time after which a reply counts as lost.
+/// Time after which the reply to an operation counts as lost.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Part of the lease that is the holder's safety margin.
+/// Duration of the lease divided by the holder's safety margin.
 const MARGIN_DIVISOR: u32 = 5;
 
-/// Renewals within one length of the lease.
-const RENEWALS: u32 = 3;
+/// Number of renewals within the duration of a lease.
+const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Value of a lease's row.
+/// Value of the row of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Name and life of the holder.
+    /// Name and incarnation of the holder.
     pub holder: String,
     /// Rises by one with each new holder.
     pub epoch: u64,
-    /// Unique name of the write.
+    /// Unique identifier of the write.
     pub write_id: String,
 }
 
@@ -45,62 +46,64 @@
 #[derive(Clone, Copy, Debug)]
 struct Held {
     epoch: u64,
-    until: Time,
+    expires_at: Time,
 }
 
-/// One process's view of a lease: held, or waited for.
+/// One process's view of a lease that it holds or contends for.
 #[derive(Debug)]
 pub struct Lease {
     key: String,
     holder: String,
-    length: Duration,
+    duration: Duration,
     protections: Protections,
     row: Option<(RowVersion, LeaseRow)>,
     row_seen_at: Time,
     row_known: bool,
     held: Option<Held>,
     pending: Option<Pending>,
-    reading_since: Option<Time>,
+    read_sent_at: Option<Time>,
     next_action: Time,
     writes: u64,
 }
 
 impl Lease {
-    /// A lease that is not held yet. `holder` has to name the life, too.
-    pub fn new(key: String, holder: String, length: Duration, protections: Protections) -> Self {
+    /// Creates a lease that is not held yet. `holder` must contain the
+    /// incarnation of the process, so that a restarted process is another holder.
+    pub fn new(key: String, holder: String, duration: Duration, protections: Protections) -> Self {
         Lease {
             key,
             holder,
-            length,
+            duration,
             protections,
             row: None,
             row_seen_at: Time::default(),
             row_known: false,
             held: None,
             pending: None,
-            reading_since: None,
+            read_sent_at: None,
             next_action: Time::default(),
             writes: 0,
         }
     }
 
-    /// Epoch under which this process may act now; none when it may not.
+    /// Epoch under which this process may act now; none if it may not act.
     pub fn epoch(&self, now: Time) -> Option<u64> {
         let held = self.held?;
-        let lapsed = now >= held.until - self.length / MARGIN_DIVISOR;
-        if lapsed && self.protections.is_enabled(Protection::LeaseMargin) {
+        let expired = now >= held.expires_at - self.duration / MARGIN_DIVISOR;
+        if expired && self.protections.is_enabled(Protection::LeaseMargin) {
             return None;
         }
         Some(held.epoch)
     }
 
-    /// Operation to send now, if any. Hand its reply to [`Lease::on_reply`].
+    /// Returns the operation to send now, if any. Its reply goes to
+    /// [`Lease::on_reply`].
     pub fn tick(&mut self, now: Time) -> Option<TableOperation> {
-        self.give_up_waiting(now);
-        if self.is_waiting() || now < self.next_action {
+        self.expire_replies(now);
+        if self.awaits_reply() || now < self.next_action {
             return None;
         }
-        self.next_action = now + self.length / RENEWALS;
+        self.next_action = now + self.duration / RENEWALS_PER_LEASE;
         if !self.row_known {
             return Some(self.read(now));
         }
@@ -110,7 +113,7 @@
                 let epoch = self.renewal_epoch(now, row.epoch);
                 Some(self.write(now, epoch))
             }
-            Some((_, row)) if now.since(self.row_seen_at) >= self.length => {
+            Some((_, row)) if now.since(self.row_seen_at) >= self.duration => {
                 let epoch = row.epoch + 1;
                 Some(self.write(now, epoch))
             }
@@ -118,17 +121,17 @@
         }
     }
 
-    /// Takes a reply in.
+    /// Handles the reply to the last operation.
     pub fn on_reply(&mut self, now: Time, reply: TableReply) {
-        self.reading_since = None;
+        self.read_sent_at = None;
         match reply {
             TableReply::Written(version) => {
                 if let Some(pending) = self.pending.take() {
-                    self.note_held(&pending);
-                    self.note_row(now, Some((version, pending.row)));
+                    self.record_held(&pending);
+                    self.record_row(now, Some((version, pending.row)));
                 }
             }
-            TableReply::Conflict(row) | TableReply::Read(row) => self.judge(now, row),
+            TableReply::Conflict(row) | TableReply::Read(row) => self.apply_row(now, row),
             TableReply::Lost => {
                 self.row_known = false;
                 self.next_action = now;
@@ -136,8 +139,9 @@
         }
     }
 
-    /// A lease that lapsed while nobody took it is taken anew, so that orders
-    /// of the time before cannot pass for later ones.
+    /// Epoch for the next write of the present holder. An expired lease that
+    /// nobody took is acquired under a new epoch, so that orders sent before the
+    /// expiry cannot pass for newer ones.
     fn renewal_epoch(&self, now: Time, epoch: u64) -> u64 {
         if self.epoch(now).is_some() {
             epoch
@@ -146,17 +150,17 @@
         }
     }
 
-    /// Whether a reply is awaited. A write whose reply is lost stays pending
-    /// until the row was read, but no longer keeps the reading from being sent.
-    fn is_waiting(&self) -> bool {
+    /// Whether a reply is awaited. A write whose reply was lost stays pending
+    /// until the row has been read, but does not delay that read.
+    fn awaits_reply(&self) -> bool {
         let awaits_write = self.pending.is_some() && self.row_known;
-        awaits_write || self.reading_since.is_some()
+        awaits_write || self.read_sent_at.is_some()
     }
 
-    fn give_up_waiting(&mut self, now: Time) {
+    fn expire_replies(&mut self, now: Time) {
         let late = |since: Time| now.since(since) >= REPLY_TIMEOUT;
-        if self.reading_since.is_some_and(late) {
-            self.reading_since = None;
+        if self.read_sent_at.is_some_and(late) {
+            self.read_sent_at = None;
             self.next_action = now;
         }
         let write_is_lost = self
@@ -169,7 +173,7 @@
         }
     }
 
-    fn judge(&mut self, now: Time, row: Option<Row>) {
+    fn apply_row(&mut self, now: Time, row: Option<Row>) {
         let parsed = row.and_then(|row| {
             let value = serde_json::from_str::<LeaseRow>(&row.value).ok()?;
             Some((row.version, value))
@@ -179,10 +183,10 @@
                 .as_ref()
                 .is_some_and(|(_, value)| value.write_id == pending.row.write_id);
             if own {
-                self.note_held(&pending);
+                self.record_held(&pending);
             }
         }
-        self.note_row(now, parsed);
+        self.record_row(now, parsed);
         let is_own = self
             .row
             .as_ref()
@@ -192,14 +196,14 @@
         }
     }
 
-    fn note_held(&mut self, pending: &Pending) {
+    fn record_held(&mut self, pending: &Pending) {
         self.held = Some(Held {
             epoch: pending.row.epoch,
-            until: pending.sent_at + self.length,
+            expires_at: pending.sent_at + self.duration,
         });
     }
 
-    fn note_row(&mut self, now: Time, row: Option<(RowVersion, LeaseRow)>) {
+    fn record_row(&mut self, now: Time, row: Option<(RowVersion, LeaseRow)>) {
         let held = self.row.as_ref().map(|(version, _)| *version);
         let seen = row.as_ref().map(|(version, _)| *version);
         if held.is_none() || held != seen {
@@ -210,7 +214,7 @@
     }
 
     fn read(&mut self, now: Time) -> TableOperation {
-        self.reading_since = Some(now);
+        self.read_sent_at = Some(now);
         TableOperation::Get {
             key: self.key.clone(),
         }
@@ -233,25 +237,25 @@
     }
 }
 
-/// An order under an older epoch.
+/// An order is refused because its epoch is older than one seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("epoch {given} is behind epoch {highest}")]
 pub struct StaleEpoch {
-    /// Epoch of the order.
+    /// Epoch of the refused order.
     pub given: u64,
-    /// Highest epoch seen.
+    /// Highest epoch seen so far.
     pub highest: u64,
 }
 
-/// Highest epoch seen by scope; older ones are refused, for back ends that do
-/// not check themselves.
+/// Refuses orders of older epochs, for back ends that don't check epochs
+/// themselves. Epochs are compared within a scope.
 #[derive(Debug, Default)]
 pub struct Fence {
     highest: BTreeMap<String, u64>,
 }
 
 impl Fence {
-    /// Lets an epoch pass unless a higher one was seen.
+    /// Accepts and records an epoch unless a higher one was seen in the scope.
     pub fn check(
         &mut self,
         scope: &str,
--- a/crates/stacktack-core/src/ledger.rs
+++ b/crates/stacktack-core/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Claims of idempotency keys by conditional writes to the platform's table.
 //!
-//! One row per key. A claim is a write that expects the row to be absent (or
-//! released); who reads another request's claim does not run. A reply that is
-//! lost is settled by reading the row, never guessed.
+//! Each key has one row. A claim is a write on the condition that the row is
+//! absent or released. A request that reads the claim of another request does
+//! not run. A lost reply is never guessed but resolved by reading the row.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -10,10 +10,10 @@
 
 use crate::protection::{Protection, Protections};
 
-/// Table operations sent for one claim before it is given up.
-const MAXIMUM_OPERATIONS: u32 = 6;
+/// Maximum number of table operations for one claim.
+const MAX_OPERATIONS: u32 = 6;
 
-/// Version of a table row; rises with each write to it.
+/// Version of a table row, which rises with each write to the row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RowVersion(pub u64);
 
@@ -22,7 +22,7 @@
 pub struct Row {
     /// Version of the row.
     pub version: RowVersion,
-    /// Its value, a JSON text.
+    /// Value of the row, as JSON text.
     pub value: String,
 }
 
@@ -34,13 +34,13 @@
         /// Key of the row.
         key: String,
     },
-    /// Write a row if it is as expected.
+    /// Write a row if its version is the expected one.
     Put {
         /// Key of the row.
         key: String,
         /// New value.
         value: String,
-        /// Version that the row must have; none for an absent row.
+        /// Version that the row must have; none if the row must be absent.
         expected: Option<RowVersion>,
     },
 }
@@ -48,53 +48,54 @@
 /// Reply of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TableReply {
-    /// The row as read, if there is one.
+    /// The row that was read; none if it is absent.
     Read(Option<Row>),
-    /// The write took effect.
+    /// The write took effect and gave the row this version.
     Written(RowVersion),
-    /// The row was not as expected; as it is now.
+    /// The row did not have the expected version; holds the present row.
     Conflict(Option<Row>),
-    /// No reply: it may or may not have taken effect.
+    /// No reply: the operation may or may not have taken effect.
     Lost,
 }
 
-/// State of a key.
+/// State of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyState {
-    /// A request may run under it.
+    /// A request claimed the key and may be running.
     Claimed,
-    /// A request ran under it.
+    /// A request with the key has run.
     Ran,
-    /// The request that claimed it certainly did not run.
+    /// The request that claimed the key certainly did not run.
     Released,
 }
 
-/// Value of a key's row.
+/// Value of the row of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRow {
     /// Request that wrote the row last.
     pub request: String,
-    /// State of the key.
+    /// State that the request wrote.
     pub state: KeyState,
 }
 
-/// Where a claim stands.
+/// Next step of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Send this operation and hand in its reply.
+    /// Send this operation and pass its reply to [`Claim::on_reply`].
     Send(TableOperation),
     /// This request holds the key.
     Claimed,
-    /// Another request holds it and may be running.
+    /// Another request holds the key and may be running.
     InUse,
-    /// Another request ran under it.
+    /// A request with the key has already run.
     Used,
-    /// The table does not answer; the request must not run.
+    /// The claim could not be settled, mostly because the table does not answer;
+    /// the request must not run.
     Unavailable,
 }
 
-/// Row key of an idempotency key.
+/// Table key of the row of a tenant's idempotency key.
 pub fn row_key(tenant: TenantId, idempotency_key: &str) -> String {
     let digest = Sha256::digest(idempotency_key.as_bytes());
     let hash: String = digest
@@ -105,7 +106,7 @@
     format!("ledger/{tenant}/{hash}")
 }
 
-/// One request's hold on a key, from the first write to the last.
+/// State machine by which one request claims a key and later ends the claim.
 #[derive(Clone, Debug)]
 pub struct Claim {
     key: String,
@@ -116,7 +117,7 @@
 }
 
 impl Claim {
-    /// A claim for a request.
+    /// Creates the claim of a request on the row key `key`.
     pub fn new(key: String, request: RequestId, protections: Protections) -> Self {
         Claim {
             key,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// First step.
+    /// Returns the first step.
     pub fn begin(&mut self) -> ClaimStep {
         if !self.protections.is_enabled(Protection::KeyClaim) {
             return ClaimStep::Claimed;
@@ -135,14 +136,14 @@
         self.write()
     }
 
-    /// Next step after the reply to the operation sent last.
+    /// Returns the next step after the reply to the last operation.
     pub fn on_reply(&mut self, reply: TableReply) -> ClaimStep {
         match reply {
             TableReply::Written(version) => {
                 self.version = Some(version);
                 ClaimStep::Claimed
             }
-            TableReply::Conflict(Some(row)) | TableReply::Read(Some(row)) => self.judge(row),
+            TableReply::Conflict(Some(row)) | TableReply::Read(Some(row)) => self.evaluate(row),
             TableReply::Conflict(None) | TableReply::Read(None) => {
                 self.version = None;
                 self.write()
@@ -152,13 +153,13 @@
         }
     }
 
-    /// Write that ends the hold; none when nothing is held.
+    /// Returns the write that ends the claim; none if the key was not claimed.
     pub fn end(&self, state: KeyState) -> Option<TableOperation> {
         self.version?;
         Some(self.put(state))
     }
 
-    fn judge(&mut self, row: Row) -> ClaimStep {
+    fn evaluate(&mut self, row: Row) -> ClaimStep {
         let Ok(held) = serde_json::from_str::<KeyRow>(&row.value) else {
             return ClaimStep::InUse;
         };
@@ -201,7 +202,7 @@
 
     fn send(&mut self, operation: TableOperation) -> ClaimStep {
         self.operations += 1;
-        if self.operations > MAXIMUM_OPERATIONS {
+        if self.operations > MAX_OPERATIONS {
             return ClaimStep::Unavailable;
         }
         ClaimStep::Send(operation)
--- a/crates/stacktack-core/src/lib.rs
+++ b/crates/stacktack-core/src/lib.rs
@@ -1,13 +1,15 @@
-//! Decisions of the stacktack router fleet.
+//! Decision logic of the stacktack router fleet.
 //!
-//! Nothing here does input or output, reads a clock or draws randomness of its
-//! own: time and random numbers are arguments. The binaries and the emulator
-//! run this same code; they differ in what carries the messages.
+//! This crate does no input or output, reads no clock and has no source of
+//! randomness of its own: times and random numbers are arguments. The binaries
+//! and the emulator run the same code and differ only in the transport of
+//! messages.
 //!
-//! - [`configuration`]: what operators write, its validation and its changes.
-//! - [`placement`]: choice of a back end as a pure function over a snapshot.
-//! - [`gate`]: an agent's admission, queue, attempts, drain.
-//! - [`dispatch`]: a router's requests, offers, retries, fates.
+//! - [`configuration`]: documents that operators write, their validation and
+//!   their changes.
+//! - [`placement`]: choice of a back end as a pure function of a snapshot.
+//! - [`gate`]: admission control, queue, attempts and draining at an agent.
+//! - [`dispatch`]: requests, offers, retries and fate queries at a router.
 //! - [`direct`]: a router that reaches back ends without agents.
 //! - [`control`]: membership, gossip within a byte budget, configuration sync.
 //! - [`chart`]: interpreter of the state charts in `charts/`.
--- a/crates/stacktack-core/src/loads.rs
+++ b/crates/stacktack-core/src/loads.rs
@@ -1,4 +1,4 @@
-//! What one process knows of the loads of back ends.
+//! Loads of back ends as one process knows them.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -7,17 +7,18 @@
 
 use crate::time::Time;
 
-/// Age after which a load no longer counts.
-const MAXIMUM_AGE: Duration = Duration::from_secs(30);
+/// Age after which a load no longer counts in a sum.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(30);
 
-/// Loads of other back ends by gossip and by offers.
+/// Loads of other back ends, learnt from gossip and from messages about
+/// requests.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     loads: HashMap<NodeId, (f64, Time)>,
 }
 
 impl PeerLoads {
-    /// Takes a load that was true at `at`, unless a later one is known.
+    /// Records a load measured at `at`, unless a newer one is known.
     pub fn observe(&mut self, node: NodeId, load: f64, at: Time) {
         let entry = self.loads.entry(node).or_insert((load, at));
         if at >= entry.1 {
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Takes the loads of all back ends that count; others are forgotten.
+    /// Records the loads of all back ends that count, each with its time of
+    /// measurement, and forgets the loads of all others.
     pub fn replace(&mut self, loads: &[(NodeId, f64, Time)]) {
         let named: HashSet<NodeId> = loads.iter().map(|(node, _, _)| *node).collect();
         self.loads.retain(|node, _| named.contains(node));
@@ -34,17 +36,17 @@
         }
     }
 
-    /// A known load and the time it was true.
+    /// The last known load of a back end and its time of measurement.
     pub fn get(&self, node: NodeId) -> Option<(f64, Time)> {
         self.loads.get(&node).copied()
     }
 
-    /// Sum and number of the fresh loads among `peers`.
+    /// Sum and number of the known loads of `peers` that are not stale.
     pub fn sum(&self, peers: &[NodeId], now: Time) -> (f64, usize) {
         let fresh = peers
             .iter()
             .filter_map(|peer| self.loads.get(peer))
-            .filter(|(_, at)| now.since(*at) <= MAXIMUM_AGE);
+            .filter(|(_, at)| now.since(*at) <= MAX_LOAD_AGE);
         fresh.fold((0.0, 0), |(sum, count), (load, _)| (sum + load, count + 1))
     }
 }
--- a/crates/stacktack-core/src/placement.rs
+++ b/crates/stacktack-core/src/placement.rs
@@ -1,17 +1,18 @@
-//! Choice of a back end: a pure function over a snapshot.
+//! Choice of a back end as a pure function of a snapshot.
 //!
-//! The product's rule is weighted rendezvous hashing with bounded load. The
-//! hash of chat and back end orders the candidates; the first in that order is
-//! the chat's *home*. A candidate is passed by while
+//! The default policy is weighted rendezvous hashing with bounded loads. The
+//! hash of chat and back end orders the candidates; the first in this order is
+//! the chat's *home*. A candidate is skipped while
 //!
 //! ```text
 //! load + work / capacity > max(cap * mean, mean + work / capacity)
 //! ```
 //!
-//! where the mean counts the new work. A chat spills to the next in its own
-//! order, the same one each time. A back end at or under the mean always takes
-//! one request, so while views agree some candidate always fits; when none does
-//! the least loaded one is taken. Suspected members come after all others.
+//! where the mean includes the new work. The chat then spills over to the next
+//! candidate in its own order, which is the same each time. A back end at or
+//! below the mean always accepts one request, so some candidate fits as
+//! long as all views agree; otherwise the least loaded candidate is chosen.
+//! Suspected candidates are chosen only if there are no others.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -19,87 +20,88 @@
 use stacktack_wire::identity::{ChatId, NodeId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How a back end is chosen. All but `Bounded` are baselines.
+/// Policy by which a back end is chosen. All but `Bounded` are baselines for
+/// comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The lowest known load.
+    /// The candidate with the lowest known load.
     LeastLoaded,
-    /// The less loaded of two drawn at random.
+    /// The less loaded of two candidates drawn at random.
     TwoChoices,
-    /// The first in rendezvous order, whatever its load.
+    /// The first candidate in rendezvous order, whatever its load.
     Rendezvous,
-    /// The first in rendezvous order within the load bound.
+    /// The first candidate in rendezvous order within the load bound.
     #[default]
     Bounded,
 }
 
-/// A back end that may serve the request, as the router knows it.
+/// An eligible back end, as the router knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The back end.
     pub node: NodeId,
-    /// Work it does compared with others.
+    /// Relative amount of work that the back end can do, compared with others.
     pub capacity: f64,
     /// Work units in flight divided by capacity.
     pub load: f64,
     /// Age of the load in milliseconds.
     pub load_age_ms: u64,
-    /// Whether it may be down or leaving.
+    /// Whether the back end may be down or leaving.
     pub suspected: bool,
 }
 
-/// Everything that a choice depends on.
+/// Complete input of a choice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChoiceInput {
-    /// The rule in force.
+    /// Policy in force.
     pub policy: Policy,
-    /// Hash of the chat, or of the request when it continues none.
+    /// Hash of the chat, or of the request if it continues no chat.
     pub chat: ChatId,
-    /// Highest load as a multiple of the mean.
+    /// Load bound as a multiple of the mean load.
     pub cap: f64,
-    /// Mean load with the request's work, as the router estimates it.
+    /// Mean load including the request's work, as the router estimates it.
     pub mean: f64,
     /// Work units of the request.
     pub work: f64,
-    /// A back end that the caller's placement names, tried first.
+    /// Back end that the caller asked for, which is tried first.
     pub preferred: Option<NodeId>,
     /// Eligible back ends that have not refused the request yet.
     pub candidates: Vec<Candidate>,
-    /// Drawn once for the choice, for rules that use chance.
+    /// Seed of the choice, for policies that draw at random.
     pub draw: u64,
 }
 
-/// Why the chosen back end was chosen.
+/// Why a back end was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// First in the chat's order.
+    /// It is the first candidate in the chat's rendezvous order.
     Home,
-    /// Earlier ones in the order are over the bound.
+    /// Earlier candidates in the rendezvous order are over the load bound.
     Spill,
-    /// Named by the caller's placement and within the bound.
+    /// The caller asked for it, and it is within the load bound.
     Placement,
-    /// Lowest load among those compared.
+    /// It has the lowest load of all candidates.
     LeastLoaded,
-    /// All are over the bound; the lowest load.
+    /// All candidates are over the load bound, and it has the lowest load.
     AllOverBound,
-    /// The less loaded of two.
+    /// It is the less loaded of two randomly drawn candidates.
     TwoChoices,
 }
 
-/// A choice.
+/// Result of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
-    /// The back end.
+    /// The chosen back end.
     pub node: NodeId,
-    /// Why this one.
+    /// Why it was chosen.
     pub reason: Reason,
 }
 
-/// Rendezvous score of a chat at a back end; the highest is the home.
-/// `-capacity / ln(uniform hash)` gives each back end a share of chats in
-/// proportion to its capacity.
+/// Rendezvous score of a chat at a back end; the back end with the highest
+/// score is the chat's home. The score `-capacity / ln(uniform hash)` gives each
+/// back end a share of the chats in proportion to its capacity.
 pub fn rendezvous_score(chat: ChatId, node: NodeId, capacity: f64) -> f64 {
     let hash = xxh3_64_with_seed(&chat.0.to_le_bytes(), u64::from(node.0));
     let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64;
@@ -107,14 +109,14 @@
     -capacity / positive.ln()
 }
 
-/// Whether taking work keeps a back end within the bound
+/// Whether a back end that accepts the work stays within the load bound
 /// `load + work <= max(cap * mean, mean + work)`. Load, work and mean are
-/// divided by capacity; the mean counts the new work.
+/// divided by capacity, and the mean includes the new work.
 pub fn within_bound(load: f64, work: f64, cap: f64, mean: f64) -> bool {
     load + work <= (cap * mean).max(mean + work)
 }
 
-/// Chooses a back end; none when there are no candidates.
+/// Chooses a back end; none if there are no candidates.
 pub fn choose(input: &ChoiceInput) -> Option<Choice> {
     let healthy: Vec<Candidate> = input
         .candidates
--- a/crates/stacktack-core/src/problem.rs
+++ b/crates/stacktack-core/src/problem.rs
@@ -1,25 +1,25 @@
-//! Problems as callers see them (RFC 9457 `application/problem+json`).
+//! Error responses to callers (RFC 9457 `application/problem+json`).
 
 use serde::{Deserialize, Serialize};
 
 /// Content type of a problem body.
 pub const CONTENT_TYPE: &str = "application/problem+json";
 
-/// Whether the request ran. `NotRun` is a promise.
+/// Whether the request ran. `NotRun` is certain, so the caller may safely retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Certainly not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran; the answer is not available.
+    /// The request ran, but its response is not available.
     Ran,
-    /// Part of the answer was delivered.
+    /// Part of the response was delivered.
     Incomplete,
 }
 
-/// What went wrong, as the last part of the problem's `type`.
+/// Kind of a problem, which is the last segment of the problem's `type`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
@@ -33,7 +33,7 @@
     BodyTooLarge,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// No or an unknown key.
+    /// The request has no key or an unknown one.
     UnknownTenant,
     /// The model is not configured.
     UnknownModel,
@@ -43,9 +43,9 @@
     UnknownPath,
     /// The method is not served at this path.
     MethodNotAllowed,
-    /// Selectors leave no back end.
+    /// No back end is eligible for the request.
     NoEligibleBackEnd,
-    /// Every back end that may serve it refused.
+    /// Every eligible back end refused the request.
     Overloaded,
     /// The deadline cannot be met.
     DeadlineUnreachable,
@@ -59,30 +59,30 @@
     KeyInUse,
     /// A request with the same idempotency key has run.
     KeyUsed,
-    /// The platform's table, needed for the idempotency key, does not answer.
+    /// The platform's table, which holds idempotency keys, does not answer.
     StoreUnavailable,
 }
 
-/// A problem reply.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// URI reference that names the kind.
+    /// URI reference that identifies the kind.
     #[serde(rename = "type")]
     pub type_reference: String,
-    /// Short text for people.
+    /// Short human-readable summary of the kind.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What is known about the run.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// Particulars for people.
+    /// Human-readable details of this occurrence.
     pub detail: String,
-    /// Milliseconds after which a repeat makes sense.
+    /// Milliseconds after which a retry is worthwhile; none if no time is known.
     pub retry_after_ms: Option<u64>,
 }
 
 impl ProblemKind {
-    /// HTTP status of the kind.
+    /// HTTP status code of the kind.
     pub fn status(self) -> u16 {
         match self {
             ProblemKind::MalformedBody | ProblemKind::MalformedHeader => 400,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A problem of this kind.
+    /// Creates a problem of this kind.
     pub fn problem(self, outcome: Outcome, detail: impl Into<String>) -> Problem {
         let slug = self.slug();
         Problem {
@@ -127,7 +127,7 @@
 }
 
 impl Problem {
-    /// The problem with a time after which to come back.
+    /// Sets the time after which a retry is worthwhile.
     pub fn retry_after(mut self, milliseconds: u64) -> Self {
         self.retry_after_ms = Some(milliseconds);
         self
--- a/crates/stacktack-core/src/protection.rs
+++ b/crates/stacktack-core/src/protection.rs
@@ -1,23 +1,24 @@
-//! Protections that a scenario can switch off, to show that it would notice.
+//! Protections that a test scenario can disable to show that it detects their
+//! absence.
 //!
-//! The binaries always run with every protection on; only the emulator hands
-//! in a set with one missing.
+//! The binaries always run with all protections enabled; only the emulator
+//! disables one.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-macro_rules! rules {
+macro_rules! protections {
     ($($(#[$doc:meta])* $name:ident => $text:literal,)*) => {
-        /// One protection.
+        /// A mechanism that guards an invariant of the fleet.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Protection {
             $($(#[$doc])* $name,)*
         }
 
         impl Protection {
-            /// Every rule.
+            /// All protections.
             pub const ALL: &'static [Protection] = &[$(Protection::$name,)*];
         }
 
@@ -31,53 +32,58 @@
     };
 }
 
-rules! {
-    /// Answers are matched on request and attempt.
+protections! {
+    /// Responses are matched to requests by request and attempt.
     AttemptMatching => "attempt-matching",
-    /// Pieces of an answer are accepted only in order.
+    /// Pieces of a response are accepted only in order.
     PieceOrder => "piece-order",
-    /// An unseen attempt is tombstoned before it is called not run.
+    /// An unknown attempt is recorded as refused (a tombstone) before its fate is
+    /// reported as not run.
     Tombstone => "tombstone",
-    /// A router that hears nothing asks the fate instead of assuming.
+    /// A router that gets no message about an attempt asks for its fate instead
+    /// of assuming one.
     FateQuery => "fate-query",
-    /// An attempt that may have run is not repeated unless it is repeatable.
+    /// An attempt that may have run is retried only if its request is repeatable.
     NoRepeat => "no-repeat",
-    /// An idempotency key is claimed by a conditional write before it runs.
+    /// An idempotency key is claimed by a conditional write before its request
+    /// runs.
     KeyClaim => "key-claim",
-    /// A lost reply to a claim is settled by reading the row.
+    /// A lost reply to a claim is resolved by reading the row.
     ClaimReread => "claim-reread",
     /// A draining agent refuses new work.
     DrainRefusal => "drain-refusal",
-    /// A stopping process waits for what is in flight.
+    /// A stopping process waits for its requests in flight.
     DrainWait => "drain-wait",
-    /// Agents refuse load over the bound.
+    /// Agents refuse work that exceeds the load bound.
     LoadBound => "load-bound",
-    /// Agents refuse routers whose configuration is older.
+    /// Agents refuse offers of routers whose configuration is older.
     StaleRefusal => "stale-refusal",
-    /// Configuration versions only rise in a process.
+    /// The configuration version of a process only rises.
     VersionRise => "version-rise",
-    /// Acceptance of a change is a conditional write.
+    /// A configuration change is accepted by a conditional write.
     ConditionalHead => "conditional-head",
-    /// A holder stops before its lease may lapse.
+    /// The holder of a lease stops acting before the lease may expire.
     LeaseMargin => "lease-margin",
-    /// Agents refuse orders of an older epoch.
+    /// Agents refuse orders of an older lease epoch.
     OrderFence => "order-fence",
     /// Retries stay within the tenant's budget.
     RetryBudget => "retry-budget",
-    /// A request given up on is answered at once.
+    /// A request that the router gives up is answered at once.
     AnswerAtOnce => "answer-at-once",
 }
 
-/// No rule has this name.
+/// No protection has this name; holds the name and the allowed names.
 #[derive(Debug, Error)]
-#[error("{0} is no rule; allowed: {1}")]
+#[error("unknown protection {0}; allowed: {1}")]
 pub struct UnknownProtection(String, String);
 
 impl FromStr for Protection {
     type Err = UnknownProtection;
 
     fn from_str(text: &str) -> Result<Self, UnknownProtection> {
-        let found = Protection::ALL.iter().find(|rule| rule.to_string() == text);
+        let found = Protection::ALL
+            .iter()
+            .find(|protection| protection.to_string() == text);
         found.copied().ok_or_else(|| {
             let names: Vec<String> = Protection::ALL.iter().map(Protection::to_string).collect();
             UnknownProtection(text.to_string(), names.join(", "))
@@ -85,22 +91,22 @@
     }
 }
 
-/// The protections in force. Default: all.
+/// Set of enabled protections; all by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Protections {
     disabled: Option<Protection>,
 }
 
 impl Protections {
-    /// All but one.
-    pub fn without(rule: Protection) -> Self {
+    /// Enables all protections but one.
+    pub fn without(protection: Protection) -> Self {
         Protections {
-            disabled: Some(rule),
+            disabled: Some(protection),
         }
     }
 
-    /// Whether a rule is in force.
-    pub fn is_enabled(&self, rule: Protection) -> bool {
-        self.disabled != Some(rule)
+    /// Whether a protection is enabled.
+    pub fn is_enabled(&self, protection: Protection) -> bool {
+        self.disabled != Some(protection)
     }
 }
--- a/crates/stacktack-core/src/time.rs
+++ b/crates/stacktack-core/src/time.rs
@@ -1,4 +1,5 @@
-//! Time as the decisions see it: microseconds since an origin of the caller's.
+//! Points in time, as the caller of the decision logic passes them in:
+//! microseconds since an origin that the caller chooses.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -8,7 +9,7 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// Time that passed since `earlier`; zero if that is later.
+    /// Duration since `earlier`; zero if `earlier` is later than this time.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
