--- a/crates/stacktack-core/src/configuration/validation.rs
+++ b/crates/stacktack-core/src/configuration/validation.rs
@@ -85,7 +85,7 @@
         });
     }
 
-    fn range<T: PartialOrd + fmt::Display + Copy>(
+    fn check_range<T: PartialOrd + fmt::Display + Copy>(
         &mut self,
         field: String,
         value: T,
@@ -99,35 +99,35 @@
 
     fn check_limits(&mut self, document: &Document) {
         let limits = &document.limits;
-        self.range("limits.load_cap".into(), limits.load_cap, 1.05, 10.0);
-        self.range("limits.queue_length".into(), limits.queue_length, 0, 10_000);
-        self.range("limits.body_bytes".into(), limits.body_bytes, 1, 8_388_608);
-        self.range("limits.offers".into(), limits.offers, 1, 10);
-        self.range("limits.silence_ms".into(), limits.silence_ms, 100, 60_000);
-        self.range("limits.fate_seconds".into(), limits.fate_seconds, 10, 3_600);
+        self.check_range("limits.load_cap".into(), limits.load_cap, 1.05, 10.0);
+        self.check_range("limits.queue_length".into(), limits.queue_length, 0, 10_000);
+        self.check_range("limits.body_bytes".into(), limits.body_bytes, 1, 8_388_608);
+        self.check_range("limits.offers".into(), limits.offers, 1, 10);
+        self.check_range("limits.silence_ms".into(), limits.silence_ms, 100, 60_000);
+        self.check_range("limits.fate_seconds".into(), limits.fate_seconds, 10, 3_600);
     }
 
     fn check_names(&mut self, document: &Document) {
         let back_ends = document.back_ends.iter().map(|entry| entry.name.as_str());
-        self.unique("back_end", back_ends.clone());
-        self.distinct_identifiers("back_end", back_ends, |name| u64::from(NodeId::of(name).0));
+        self.check_unique("back_end", back_ends.clone());
+        self.check_distinct_ids("back_end", back_ends, |name| u64::from(NodeId::of(name).0));
         let tenants = document.tenants.iter().map(|entry| entry.name.as_str());
-        self.unique("tenant", tenants.clone());
-        self.distinct_identifiers("tenant", tenants, |name| u64::from(TenantId::of(name).0));
+        self.check_unique("tenant", tenants.clone());
+        self.check_distinct_ids("tenant", tenants, |name| u64::from(TenantId::of(name).0));
         let models = document.models.iter().map(|entry| entry.name.as_str());
         let adapters = document.adapters.iter().map(|entry| entry.name.as_str());
-        self.unique("model", models.chain(adapters));
-        self.unique(
+        self.check_unique("model", models.chain(adapters));
+        self.check_unique(
             "service",
             document.services.iter().map(|entry| entry.name.as_str()),
         );
-        self.unique(
+        self.check_unique(
             "selector",
             document.selectors.iter().map(|entry| entry.name.as_str()),
         );
     }
 
-    fn unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
+    fn check_unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen = BTreeSet::new();
         for name in names {
             if name.is_empty() {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn distinct_identifiers<'a>(
+    fn check_distinct_ids<'a>(
         &mut self,
         kind: &str,
         names: impl Iterator<Item = &'a str>,
@@ -162,8 +162,8 @@
 
     fn check_back_end(&mut self, document: &Document, back_end: &BackEnd) {
         let field = |name: &str| format!("back_end.{}.{name}", back_end.name);
-        self.range(field("capacity"), back_end.capacity, 0.001, 1_000.0);
-        self.range(field("concurrency"), back_end.concurrency, 1, 10_000);
+        self.check_range(field("capacity"), back_end.capacity, 0.001, 1_000.0);
+        self.check_range(field("concurrency"), back_end.concurrency, 1, 10_000);
         for model in &back_end.models {
             if !document.models.iter().any(|entry| &entry.name == model) {
                 self.reject(field("models"), model, "allowed is a configured model");
@@ -210,9 +210,9 @@
         let mut owners: BTreeMap<String, &str> = BTreeMap::new();
         for tenant in &document.tenants {
             let field = |name: &str| format!("tenant.{}.{name}", tenant.name);
-            self.range(field("weight"), tenant.weight, 0.001, 1_000.0);
+            self.check_range(field("weight"), tenant.weight, 0.001, 1_000.0);
             let concurrency = tenant.concurrency_per_back_end;
-            self.range(field("concurrency_per_back_end"), concurrency, 1, 10_000);
+            self.check_range(field("concurrency_per_back_end"), concurrency, 1, 10_000);
             for hash in &tenant.key_hashes {
                 let hexadecimal = hash.chars().all(|digit| digit.is_ascii_hexdigit());
                 if hash.len() != 64 || !hexadecimal {
--- a/crates/stacktack-core/src/gate/admission.rs
+++ b/crates/stacktack-core/src/gate/admission.rs
@@ -45,12 +45,12 @@
         .document
         .back_ends
         .iter()
-        .filter(|other| other.name != own.name && !other.drained && share_work(own, other))
+        .filter(|other| other.name != own.name && !other.drained && in_same_pool(own, other))
         .map(|other| NodeId::of(&other.name))
         .collect()
 }
 
-fn share_work(own: &BackEnd, other: &BackEnd) -> bool {
+fn in_same_pool(own: &BackEnd, other: &BackEnd) -> bool {
     match own.kind {
         BackEndKind::Service => other.service == own.service,
         BackEndKind::Engine => own.models.iter().any(|model| other.models.contains(model)),
--- a/crates/stacktack-core/src/gate/attempt.rs
+++ b/crates/stacktack-core/src/gate/attempt.rs
@@ -46,7 +46,7 @@
     Finish,
     /// The back end's response broke off or is invalid.
     Break,
-    /// The back end certainly did not run it.
+    /// The back end certainly did not run the attempt.
     BackendRefuse,
     /// A router asks for the fate of the attempt.
     AskFate,
--- a/crates/stacktack-core/src/lease.rs
+++ b/crates/stacktack-core/src/lease.rs
@@ -1,11 +1,11 @@
 //! Leases stored as rows of the platform's table, and fencing by their epochs.
 //!
-//! A row names the holder, an epoch that rises with each new holder, and the
-//! write. The holder counts the duration of the lease from the time at which it
-//! *sent* the write that took effect, and stops acting a safety margin before
-//! the lease may expire. A contender counts from the time at which it first read
-//! the row in its present version. So nobody compares clocks of different
-//! machines. A lost reply is resolved by reading the row.
+//! A row names the holder, an epoch that rises each time that the lease is
+//! acquired, and the write. The holder counts the duration of the lease from the
+//! time at which it *sent* the write that took effect, and stops acting a safety
+//! margin before the lease may expire. A contender counts from the time at which
+//! it first read the row in its present version. So nobody compares clocks of
+//! different machines. A lost reply is resolved by reading the row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Time after which the reply to an operation counts as lost.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Duration of the lease divided by the holder's safety margin.
+/// The holder's safety margin is the duration of the lease divided by this.
 const MARGIN_DIVISOR: u32 = 5;
 
 /// Number of renewals within the duration of a lease.
@@ -31,7 +31,8 @@
 pub struct LeaseRow {
     /// Name and incarnation of the holder.
     pub holder: String,
-    /// Rises by one with each new holder.
+    /// Rises by one with each new holder, and when a holder acquires its expired
+    /// lease again.
     pub epoch: u64,
     /// Unique identifier of the write.
     pub write_id: String,
@@ -204,9 +205,9 @@
     }
 
     fn record_row(&mut self, now: Time, row: Option<(RowVersion, LeaseRow)>) {
-        let held = self.row.as_ref().map(|(version, _)| *version);
-        let seen = row.as_ref().map(|(version, _)| *version);
-        if held.is_none() || held != seen {
+        let previous = self.row.as_ref().map(|(version, _)| *version);
+        let current = row.as_ref().map(|(version, _)| *version);
+        if previous.is_none() || previous != current {
             self.row_seen_at = now;
         }
         self.row = row;
--- a/crates/stacktack-core/src/ledger.rs
+++ b/crates/stacktack-core/src/ledger.rs
@@ -90,7 +90,7 @@
     InUse,
     /// A request with the key has already run.
     Used,
-    /// The claim could not be settled, mostly because the table does not answer;
+    /// The claim could not be decided, mostly because the table does not answer;
     /// the request must not run.
     Unavailable,
 }
