--- a/crates/stacktack-core/src/configuration/mod.rs
+++ b/crates/stacktack-core/src/configuration/mod.rs
@@ -1,9 +1,8 @@
 //! Configuration of the fleet: documents, their changes, and their storage.
 //!
-//! Operators write a [`Document`](document::Document), which is parsed and
-//! validated as a whole. A [`Configuration`] is an accepted document with its
-//! version and indexes; processes hold it behind an `Arc` and replace it only by
-//! a newer version.
+//! Operators write a [`Document`], which is parsed and validated as a whole. A
+//! [`Configuration`] is an accepted document with its version and indexes;
+//! processes hold it behind an `Arc` and replace it only by a newer version.
 
 pub mod apply;
 pub mod change;
