--- a/crates/stacktack-wire/src/codec.rs
+++ b/crates/stacktack-wire/src/codec.rs
@@ -8,7 +8,8 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest frame, in bytes: a caller's largest body and its envelope.
+/// Maximum size of a frame: the largest body of a caller's request, and the
+/// message around it.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024 + 64 * 1024;
 
 /// A frame or datagram could not be encoded or decoded.
@@ -17,7 +18,7 @@
     /// The connection failed or a frame was too long.
     #[error("frame: {0}")]
     Frame(#[from] std::io::Error),
-    /// The body is no message of the expected type.
+    /// The body could not be encoded, or does not decode as the expected type.
     #[error("body: {0}")]
     Body(#[from] postcard::Error),
 }
@@ -36,14 +37,15 @@
     Ok(message)
 }
 
-/// Frames that carry messages `In` towards this process and `Out` from it.
+/// Codec of a connection on which this process receives messages of type `In`
+/// and sends messages of type `Out`, each in a length-delimited frame.
 pub struct MessageCodec<In, Out> {
     frames: LengthDelimitedCodec,
     types: PhantomData<(In, Out)>,
 }
 
 impl<In, Out> MessageCodec<In, Out> {
-    /// A codec that refuses frames over [`MAX_FRAME_BYTES`].
+    /// Creates a codec that rejects frames longer than [`MAX_FRAME_BYTES`].
     pub fn new() -> Self {
         let frames = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
--- a/crates/stacktack-wire/src/gossip.rs
+++ b/crates/stacktack-wire/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Datagrams of the control path.
 //!
 //! A datagram is one [`Datagram`] encoded with `postcard`, at most
-//! [`MAX_DATAGRAM_BYTES`] bytes, so that it fits one packet.
+//! [`MAX_DATAGRAM_BYTES`] bytes, so that it fits into one packet.
 
 use std::net::SocketAddr;
 
@@ -10,102 +10,104 @@
 use crate::identity::{ConfigurationVersion, Incarnation, NodeId};
 use crate::message::EncodedChanges;
 
-/// Largest datagram body, in bytes.
+/// Maximum size of an encoded [`Datagram`], without IP and UDP headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Bytes of IPv4 and UDP headers that each datagram costs on the link.
+/// Bytes of IPv4 and UDP headers that each datagram adds on the link.
 pub const DATAGRAM_HEADER_BYTES: usize = 28;
 
-/// State of one member as it travels by gossip.
+/// State of one member as gossip carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The member.
     pub node: NodeId,
-    /// Its life.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat of one life.
+    /// Rises with each heartbeat of one incarnation.
     pub sequence: u32,
     /// Work units in flight divided by capacity; 0 for routers.
     pub load: u32,
-    /// Age of the load in milliseconds when it was sent.
+    /// Age of the load in milliseconds when the datagram was sent.
     pub age_ms: u32,
-    /// Whether the member takes no new work.
+    /// Whether the member accepts no new work.
     pub draining: bool,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
-    /// Takes callers' requests.
+    /// Accepts requests of callers.
     Router,
-    /// Stands before a back end.
+    /// Runs beside a back end and admits its requests.
     Agent,
 }
 
-/// Who a member is and where it listens; fixed for one life.
+/// Name, role and addresses of a member; they don't change within one
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInformation {
     /// Configured name.
     pub name: String,
-    /// Its life.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Role of the member.
     pub role: MemberRole,
-    /// Zone, as its settings say.
+    /// Zone from the settings of the member.
     pub zone: String,
     /// Address for traffic.
     pub address: SocketAddr,
     /// Address for datagrams.
     pub gossip: SocketAddr,
-    /// Address for operators, which also hands out the configuration.
+    /// Address for operators, which also serves the configuration to peers.
     pub operator: SocketAddr,
 }
 
 /// Body of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Heartbeats, the sender's own first, then the freshest known.
+    /// Heartbeats: the sender's own, then the latest that it knows of others.
     Heartbeats(Vec<Heartbeat>),
-    /// Asks for an [`Body::Acknowledge`].
+    /// Asks the receiver for a [`Body::Acknowledge`].
     Ping {
         /// Repeated in the acknowledgement.
         number: u32,
     },
-    /// Asks the receiver to ping a member on the sender's behalf.
+    /// Asks the receiver to ping a member on behalf of the sender.
     PingFor {
-        /// The member.
+        /// The member to ping.
         target: NodeId,
         /// Repeated in the acknowledgement.
         number: u32,
     },
-    /// A member answered a ping.
+    /// A member responded to a ping.
     Acknowledge {
-        /// The member that answered.
+        /// The member that responded.
         target: NodeId,
         /// Number of the ping.
         number: u32,
     },
-    /// A member did not answer; it may refute with a later heartbeat.
+    /// A member did not respond; it may refute the suspicion with a later
+    /// heartbeat.
     Suspect {
-        /// The member.
+        /// The suspected member.
         node: NodeId,
-        /// The life that did not answer.
+        /// The incarnation that did not respond.
         incarnation: Incarnation,
-        /// Last heartbeat known of it.
+        /// Sequence number of its last known heartbeat.
         sequence: u32,
     },
     /// The platform is about to take these machines away.
     Leaving(Vec<(NodeId, Incarnation)>),
-    /// Asks who a member is.
+    /// Asks for the information of a member.
     AskMember(NodeId),
-    /// Says who a member is.
+    /// Information of a member, as [`Body::AskMember`] asks for it.
     Introduce(MemberInformation),
-    /// Asks for the changes behind a version.
+    /// Asks for the configuration changes after a version.
     AskChanges {
-        /// Version of the asker.
+        /// Version that the sender holds.
         base: ConfigurationVersion,
     },
-    /// Changes that fit one datagram.
+    /// Configuration changes that fit into one datagram.
     Changes(EncodedChanges),
 }
 
@@ -114,8 +116,8 @@
 pub struct Datagram {
     /// The sender.
     pub sender: NodeId,
-    /// The sender's configuration.
+    /// Configuration version of the sender.
     pub version: ConfigurationVersion,
-    /// What it says.
+    /// Content of the datagram.
     pub body: Body,
 }
--- a/crates/stacktack-wire/src/identity.rs
+++ b/crates/stacktack-wire/src/identity.rs
@@ -1,8 +1,8 @@
 //! Identifiers shared by every process.
 //!
-//! Names from the configuration are hashed to fixed-size identifiers so that a
-//! gossip entry costs a few bytes; configuration validation rejects documents
-//! in which two names collide.
+//! Configured names are hashed to fixed-size identifiers so that a gossip entry
+//! takes a few bytes; configuration validation rejects documents in which the
+//! identifiers of two names collide.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One request of a caller, drawn at random by the router that took it in.
+/// Identifier of one request of a caller, generated at random by the router
+/// that received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
@@ -20,7 +21,8 @@
     }
 }
 
-/// The text is not a request identifier of 32 hexadecimal digits.
+/// The text is not a request identifier of 32 hexadecimal digits, or not an
+/// attempt identifier that begins with one.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidRequestId;
 
@@ -37,10 +39,10 @@
     }
 }
 
-/// One try to run a request at one back end.
+/// Identifier of one attempt to run a request on one back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request that is tried.
+    /// The request that the attempt runs.
     pub request: RequestId,
     /// Rises by one with each attempt of the request, from 1.
     pub number: u16,
@@ -73,7 +75,7 @@
         pub struct $name(pub $width);
 
         impl $name {
-            /// The identifier of a configured name.
+            /// Hashes a configured name to its identifier.
             pub fn of(name: &str) -> Self {
                 $name(xxh3_64(name.as_bytes()) as $width)
             }
@@ -88,28 +90,31 @@
 }
 
 hashed_name!(
-    /// A router, an agent or the back end beside it, by its configured name.
+    /// Identifier of a router, or of an agent and its back end, by the configured name.
     NodeId,
     u32
 );
 hashed_name!(
-    /// A tenant, by its configured name.
+    /// Identifier of a tenant, by its configured name.
     TenantId,
     u32
 );
 hashed_name!(
-    /// A chat that may return, by its tenant and the caller's chat id.
+    /// Identifier of a chat with possible further requests, by its tenant and
+    /// the caller's chat id.
     ChatId,
     u64
 );
 
-/// One life of a process; larger is later. Drawn from the wall clock at start.
+/// One run of a process, numbered by the wall clock at its start; a larger
+/// number is a later run.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// Number of an accepted configuration; 0 is the empty one before the first.
+/// Number of an accepted configuration; 0 is the empty configuration before the
+/// first accepted one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/stacktack-wire/src/lib.rs
+++ b/crates/stacktack-wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages that stacktack's own processes exchange, and their codecs.
+//! Messages between stacktack's own processes, and their codecs.
 //!
-//! Routers and agents speak framed TCP ([`codec`]) on the traffic path; all
-//! processes speak UDP datagrams ([`gossip`]) on the control path. Both carry
-//! `postcard` bodies. The types here hold no logic beyond encoding.
+//! On the traffic path, routers and agents exchange frames over TCP ([`codec`]);
+//! on the control path, all processes exchange UDP datagrams ([`gossip`]). Both
+//! carry `postcard` bodies. The types here hold no logic beyond encoding.
 
 pub mod codec;
 pub mod gossip;
--- a/crates/stacktack-wire/src/message.rs
+++ b/crates/stacktack-wire/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages on the traffic connection between a router and an agent.
+//! Messages on a traffic connection between a router and an agent.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -11,12 +11,12 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Waits behind the other two.
+    /// Queued behind the other two.
     Low,
-    /// Used when the caller names none.
+    /// Used when the caller gives none.
     #[default]
     Normal,
-    /// Served before the other two.
+    /// Queued ahead of the other two.
     High,
 }
 
@@ -27,20 +27,20 @@
     pub node: NodeId,
     /// Work units in flight, divided by the back end's capacity.
     pub load: f32,
-    /// The mean load of all back ends, as this agent estimates it.
+    /// Mean load of all back ends, as the reporting agent estimates it.
     pub mean: f32,
 }
 
-/// What is asked of a back end.
+/// Request to a back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
     /// A chat completion: the caller's JSON body.
     Chat {
-        /// Model named by the body.
+        /// Model that the body names.
         model: String,
-        /// Whether the reply is a stream of events.
+        /// Whether the response is a stream of events.
         stream: bool,
-        /// The body, passed on unchanged.
+        /// The body, forwarded unchanged.
         body: Bytes,
     },
     /// A call of a plain service.
@@ -49,95 +49,100 @@
         service: String,
         /// HTTP method.
         method: String,
-        /// Path and query behind the service's prefix.
+        /// Path and query after the prefix of the service.
         path: String,
-        /// Content type of the body, if the caller named one.
+        /// Content type of the body, if the caller gave one.
         content_type: Option<String>,
-        /// The caller's idempotency key, passed on to the service.
+        /// Idempotency key of the caller, forwarded to the service.
         idempotency_key: Option<String>,
-        /// The body, passed on unchanged.
+        /// The body, forwarded unchanged.
         body: Bytes,
     },
 }
 
-/// A router offers an attempt to an agent, which admits, queues or refuses it.
+/// Offer of an attempt by a router to an agent, which starts, queues or refuses
+/// it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The attempt that is offered.
+    /// The offered attempt.
     pub attempt: AttemptId,
-    /// The life of the agent that the router means; another one refuses.
+    /// Incarnation of the agent that the offer is for; any other refuses it.
     pub incarnation: Incarnation,
-    /// Configuration under which the router chose.
+    /// Configuration version with which the router chose the back end.
     pub version: ConfigurationVersion,
-    /// The tenant that pays.
+    /// The tenant that the request counts against.
     pub tenant: TenantId,
     /// The chat that the request continues, if any.
     pub chat: Option<ChatId>,
     /// Priority within the tenant.
     pub priority: Priority,
-    /// Milliseconds left until the caller's deadline, if it set one.
+    /// Milliseconds left until the caller's deadline, if the caller set one.
     pub deadline_ms: Option<u32>,
-    /// Whether a failed attempt may be tried again elsewhere.
+    /// Whether a failed attempt may be retried at another back end.
     pub repeatable: bool,
     /// Tokens of the prompt, estimated by the router.
     pub prompt_tokens: u32,
-    /// Tokens of the answer, as bounded by the caller or the default.
+    /// Maximum tokens of the response, set by the caller or by default.
     pub decode_tokens: u32,
     /// Loads that the router collected from refusals of this request.
     pub collected: Vec<LoadReport>,
-    /// Whether every offer allowed to the request was refused over the cap and
-    /// this agent was the least loaded of those seen.
+    /// Whether the request has no ordinary offer left. Of the agents that refused
+    /// it with [`Refusal::OverCap`], this one has the lowest known load.
     pub last_resort: bool,
-    /// What to run.
+    /// The request to run.
     pub payload: Payload,
 }
 
-/// Why an agent did not run an offered attempt. Each is certain: not run.
+/// Why an agent did not run an offered attempt. Every reason guarantees that the
+/// attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Load would pass the cap over the mean.
+    /// The load with the attempt would exceed the cap, a multiple of the mean
+    /// load.
     OverCap,
-    /// The queue before the back end is full.
+    /// The queue of the back end is full.
     QueueFull,
-    /// The predicted start passes the caller's deadline.
+    /// The predicted start is after the caller's deadline, or the deadline passed
+    /// in the queue.
     DeadlineUnreachable,
-    /// The tenant is over its configured limit.
+    /// The tenant has reached its configured limit at this back end.
     TenantLimit,
-    /// The back end is leaving.
+    /// The back end is draining.
     Draining,
     /// The router's configuration is older than the agent's.
     StaleConfiguration,
-    /// The offer meant an earlier life of the agent.
+    /// The offer was for an earlier incarnation of the agent.
     StaleIncarnation,
-    /// The attempt's fate was settled as not run before the offer came.
+    /// The agent had declared the attempt not run before the offer arrived.
     Tombstoned,
     /// The back end does not have the model.
     ModelMissing,
-    /// The back end refused before it ran anything.
+    /// The back end refused the attempt before it ran anything.
     BackendRefused,
-    /// The back end could not be reached; nothing was sent.
+    /// The back end could not be reached; nothing was sent to it.
     BackendUnreachable,
-    /// The attempt waited in the queue and was withdrawn by the router.
+    /// The router withdrew the attempt while it was queued.
     Withdrawn,
 }
 
-/// How an attempt that may have run ended without an answer.
+/// Why an attempt that may have run ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The back end's connection broke before its answer was whole.
+    /// The connection to the back end broke before the response was complete.
     BackendBroken,
-    /// The back end answered something that is no answer.
+    /// The response of the back end was invalid.
     BackendInvalid,
     /// The attempt was cancelled after it had started.
     Cancelled,
 }
 
-/// What an agent knows of an attempt. [`Fate::NotRun`] is a promise.
+/// What an agent knows of an attempt. [`Fate::NotRun`] guarantees that the
+/// attempt never runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// Not run; a tombstone refuses copies that are still in flight.
+    /// Not run; a tombstone makes the agent refuse offers that still arrive.
     NotRun,
     /// Waiting in the agent's queue.
     Queued,
@@ -146,30 +151,31 @@
         /// Number of pieces that the agent holds.
         next_offset: u64,
     },
-    /// Ended with a whole answer of this many pieces.
+    /// Ended with a complete response.
     Finished {
-        /// Number of pieces of the answer.
+        /// Number of pieces of the response.
         pieces: u64,
     },
-    /// Ended without a whole answer; it may have run.
+    /// Ended without a complete response; it may have run.
     Failed(Failure),
-    /// Asked of an earlier life of the agent: nobody knows.
+    /// The offer was for an earlier incarnation of the agent; this one cannot
+    /// tell.
     Unknown,
 }
 
-/// Token counts of an answer, as the engine reports them.
+/// Token counts of a response, as the engine reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt that came from the prefix cache.
+    /// Tokens of the prompt that were found in the prefix cache.
     pub cached_tokens: u32,
     /// Tokens generated.
     pub completion_tokens: u32,
 }
 
-/// An accepted configuration change, or several in a row, as encoded by the
-/// configuration code; opaque to this crate.
+/// Consecutive accepted configuration changes, encoded by the configuration
+/// code and opaque to this crate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EncodedChanges {
     /// Version before the first change.
@@ -180,77 +186,79 @@
     pub bytes: Vec<u8>,
 }
 
-/// From a router to an agent.
+/// Message from a router to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
     /// First message on a connection.
     Hello {
         /// The router.
         router: NodeId,
-        /// The router's configuration.
+        /// Configuration version of the router.
         version: ConfigurationVersion,
     },
     /// Offer of an attempt.
     Offer(Box<Offer>),
-    /// The attempt's answer is no longer wanted.
+    /// The response of the attempt is no longer wanted.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// What became of an attempt; an unseen one is tombstoned first.
+    /// Asks for the [`Fate`] of an attempt. The agent first leaves a tombstone
+    /// for an attempt that it has not seen.
     AskFate {
         /// The attempt.
         attempt: AttemptId,
-        /// The life of the agent that the offer meant.
+        /// Incarnation of the agent that the offer was for.
         incarnation: Incarnation,
     },
-    /// Send the attempt's answer on this connection from a piece onwards.
+    /// Asks for the response of the attempt on this connection, from a given
+    /// piece on.
     Resume {
         /// The attempt.
         attempt: AttemptId,
-        /// First piece wanted.
+        /// Index of the first wanted piece.
         offset: u64,
     },
 }
 
-/// From an agent to a router.
+/// Message from an agent to a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToRouter {
     /// First message on a connection.
     Hello {
         /// The agent.
         agent: NodeId,
-        /// The agent's current life.
+        /// Current incarnation of the agent.
         incarnation: Incarnation,
     },
-    /// The attempt waits in the queue.
+    /// The attempt is queued.
     Queued {
         /// The attempt.
         attempt: AttemptId,
-        /// The agent's load with the attempt.
+        /// Load of the agent, including the attempt.
         load: LoadReport,
     },
     /// The attempt was sent to the back end.
     Started {
         /// The attempt.
         attempt: AttemptId,
-        /// The agent's load with the attempt.
+        /// Load of the agent, including the attempt.
         load: LoadReport,
     },
-    /// Not run.
+    /// The attempt did not run.
     Refused {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Reason.
         refusal: Refusal,
-        /// The agent's load.
+        /// Load of the agent.
         load: LoadReport,
-        /// Milliseconds after which the same offer is expected to be admitted.
+        /// Milliseconds after which the agent expects to admit the same offer.
         retry_after_ms: u32,
-        /// Changes that bring a stale router up to date.
+        /// Changes that update a router with a stale configuration.
         changes: Option<EncodedChanges>,
     },
-    /// Status and content type of the answer, before its first piece.
+    /// Status and content type of the response, sent before its first piece.
     Head {
         /// The attempt.
         attempt: AttemptId,
@@ -259,7 +267,7 @@
         /// Content type.
         content_type: String,
     },
-    /// Pieces of the answer: stream events, or one whole body.
+    /// Pieces of the response: stream events, or one complete body.
     Data {
         /// The attempt.
         attempt: AttemptId,
@@ -267,32 +275,32 @@
         offset: u64,
         /// Number of pieces in `bytes`.
         count: u32,
-        /// The pieces, one after another.
+        /// The pieces, concatenated.
         bytes: Bytes,
     },
-    /// The answer is whole.
+    /// The response is complete.
     Finished {
         /// The attempt.
         attempt: AttemptId,
-        /// Number of pieces of the answer.
+        /// Number of pieces of the response.
         pieces: u64,
         /// Token counts.
         usage: Usage,
-        /// The agent's load without the attempt.
+        /// Load of the agent, without the attempt.
         load: LoadReport,
     },
-    /// Ended without a whole answer; it may have run.
+    /// Ended without a complete response; it may have run.
     Failed {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// Reason.
         failure: Failure,
     },
-    /// Answer to [`ToAgent::AskFate`].
+    /// Reply to [`ToAgent::AskFate`].
     FateOf {
         /// The attempt.
         attempt: AttemptId,
-        /// What the agent knows.
+        /// Fate of the attempt.
         fate: Fate,
     },
 }
