--- a/crates/stacktack-ctl/src/app.rs
+++ b/crates/stacktack-ctl/src/app.rs
@@ -1,4 +1,4 @@
-//! Reading the command line and running a command.
+//! Reads the command line and runs a command.
 
 use std::io::Read;
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Prints the account of a request from log files, or from standard input.
+/// Prints the explanation of a request from log files, or from standard input.
 fn explain_log(id: &str, files: &[String]) -> Result<(), CommandError> {
     let mut text = String::new();
     if files.is_empty() {
@@ -103,7 +103,7 @@
         author: settings.text("author"),
         dry_run: settings.switch("dry-run"),
         wait: settings.switch("wait"),
-        wait_limit: settings.milliseconds("wait-ms", 1..=600_000),
+        wait_timeout: settings.milliseconds("wait-ms", 1..=600_000),
         json: settings.switch("json"),
         verify: settings.switch("verify"),
     }
--- a/crates/stacktack-ctl/src/commands.rs
+++ b/crates/stacktack-ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Commands of the command line, except `explain-log`.
 
 use std::time::{Duration, Instant};
 
@@ -12,24 +12,24 @@
 
 use crate::output::CommandError;
 
-/// Pause between looks at processes that do not have a version yet.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
+/// Time between two polls of the processes while waiting for a version.
+const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all commands share.
+/// Settings that all commands share.
 pub struct Context {
     /// Client of the platform.
     pub platform: PlatformClient,
-    /// Who applies a change.
+    /// Author of an applied change.
     pub author: String,
-    /// Whether to change nothing.
+    /// Whether `apply` only validates and shows the difference.
     pub dry_run: bool,
-    /// Whether to wait until a change is in force.
+    /// Whether `apply` waits until the change is in force.
     pub wait: bool,
-    /// Longest wait.
-    pub wait_limit: Duration,
+    /// Maximum wait for a change to be in force.
+    pub wait_timeout: Duration,
     /// Whether to print JSON.
     pub json: bool,
-    /// Whether to run decisions again.
+    /// Whether `explain` repeats the recorded decisions to check them.
     pub verify: bool,
 }
 
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Makes a file the configuration.
+/// Applies a file as the configuration.
 pub async fn apply(context: &Context, path: &str) -> Result<(), CommandError> {
     let document = read_document(path)?;
     let head = read_head(&context.platform).await?;
@@ -69,27 +69,28 @@
     context: &Context,
     version: ConfigurationVersion,
 ) -> Result<(), CommandError> {
-    let begin = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let behind = processes_behind(context, version).await?;
-        if behind.is_empty() {
+        let outdated = outdated_processes(context, version).await?;
+        if outdated.is_empty() {
             return Ok(());
         }
-        if begin.elapsed() >= context.wait_limit {
+        if started_at.elapsed() >= context.wait_timeout {
             return Err(CommandError::NotInForce {
                 version: version.0,
-                names: behind.join(", "),
+                names: outdated.join(", "),
             });
         }
-        actix_rt::time::sleep(WAIT_PAUSE).await;
+        actix_rt::time::sleep(VERSION_POLL_INTERVAL).await;
     }
 }
 
-async fn processes_behind(
+/// Names of the processes that hold an earlier version or don't report one.
+async fn outdated_processes(
     context: &Context,
     version: ConfigurationVersion,
 ) -> Result<Vec<String>, CommandError> {
-    let mut behind = Vec::new();
+    let mut outdated = Vec::new();
     for machine in context.platform.machines("machines").await? {
         let status = process_status(&machine).await;
         let held = status
@@ -97,23 +98,23 @@
             .ok()
             .and_then(|status| status["version"].as_u64());
         if held.is_none_or(|held| held < version.0) {
-            behind.push(machine.name);
+            outdated.push(machine.name);
         }
     }
-    Ok(behind)
+    Ok(outdated)
 }
 
 async fn process_status(machine: &Machine) -> Result<serde_json::Value, CommandError> {
     let client = PlatformClient::new(machine.operator);
-    let failed = |reason: String| CommandError::Process {
+    let process_error = |reason: String| CommandError::Process {
         name: machine.name.clone(),
         reason,
     };
     let (_, body) = client
         .exchange("GET", "/status", None)
         .await
-        .map_err(|error| failed(error.to_string()))?;
-    serde_json::from_slice(&body).map_err(|error| failed(error.to_string()))
+        .map_err(|error| process_error(error.to_string()))?;
+    serde_json::from_slice(&body).map_err(|error| process_error(error.to_string()))
 }
 
 /// Prints the configuration in force.
@@ -147,15 +148,15 @@
     Ok(())
 }
 
-/// Lists the accepted changes, the latest last.
+/// Lists the accepted changes, latest last.
 pub async fn history(context: &Context) -> Result<(), CommandError> {
     let head = read_head(&context.platform).await?;
     let Some(row) = head.row else {
         println!("no change was accepted yet");
         return Ok(());
     };
-    let chain = read_changes(&context.platform, ConfigurationVersion(0), row.change_id).await?;
-    let bytes = chain.map(|chain| chain.bytes).unwrap_or_default();
+    let encoded = read_changes(&context.platform, ConfigurationVersion(0), row.change_id).await?;
+    let bytes = encoded.map(|encoded| encoded.bytes).unwrap_or_default();
     let changes: Vec<Change> = serde_json::from_slice(&bytes).map_err(PlatformError::from)?;
     if context.json {
         return print_json(&changes);
@@ -198,7 +199,7 @@
 
 fn print_status_line(machine: &Machine, state: Result<serde_json::Value, CommandError>) {
     let role = format!("{:?}", machine.role).to_lowercase();
-    let (version, in_flight, condition) = match &state {
+    let (version, in_flight, process_state) = match &state {
         Ok(state) => {
             let in_flight = state["in_flight"]
                 .as_u64()
@@ -213,12 +214,12 @@
         Err(_) => (String::from("?"), String::from("?"), "no answer"),
     };
     println!(
-        "{:<20} {role:<7} {:<10} {version:>7} {in_flight:>9} {condition:<9}",
+        "{:<20} {role:<7} {:<10} {version:>7} {in_flight:>9} {process_state:<9}",
         machine.name, machine.zone
     );
 }
 
-/// Sets or lifts the drain of a back end's agent.
+/// Starts or ends the drain of a back end's agent.
 pub async fn set_drain(context: &Context, name: &str, drain: bool) -> Result<(), CommandError> {
     let machines = context.platform.machines("machines").await?;
     let machine = find_machine(&machines, name)?;
@@ -241,8 +242,9 @@
     found.ok_or_else(|| CommandError::Usage(format!("{name} is not on the machine list")))
 }
 
-/// Says why a request went where it went. An identifier is
-/// `{router}.{request}`, as the reply's `Stacktack-Decision` gives it.
+/// Explains how a request was routed, from the decisions that its router
+/// recorded. An identifier is `{router}.{request}`, as the response header
+/// `Stacktack-Decision` gives it.
 pub async fn explain(context: &Context, id: &str) -> Result<(), CommandError> {
     let Some((router, request)) = id.rsplit_once('.') else {
         return Err(CommandError::Usage(format!("{id} is no decision id")));
--- a/crates/stacktack-ctl/src/explanation.rs
+++ b/crates/stacktack-ctl/src/explanation.rs
@@ -1,121 +1,134 @@
-//! The account of one request, from the logs of all processes.
+//! Explanation of one request from the logs of all processes.
 //!
-//! A log line is `time level part: key=value ...`; whatever stands before the
-//! time (a machine's name, say) is kept as its origin. Lines that name the
-//! request make the account; of the lines about the back ends that it met, the
-//! last of each kind before the end is added, since it tells what was believed.
+//! A log line is `time level target: key=value ...`; the word before the time
+//! (such as the name of a machine) is kept as the origin of the line. The
+//! explanation holds all lines that name the request. From the same origins it
+//! adds the last lines before the request ended about each back end that the
+//! lines of the request name, and about the process itself: they show the state
+//! on which the router decided.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Parts whose lines tell what a process believed.
-const BELIEF_PARTS: [&str; 2] = ["belief", "directory"];
+/// Targets of lines about the state of one back end, as a process saw it.
+const BACK_END_TARGETS: [&str; 2] = ["belief", "directory"];
 
-/// Parts whose lines concern all requests of a process.
-const PROCESS_PARTS: [&str; 3] = ["configuration", "dependency", "router"];
+/// Targets of lines that concern all requests of a process.
+const PROCESS_TARGETS: [&str; 3] = ["configuration", "dependency", "router"];
 
-/// One parsed line.
+/// One parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
     /// Time as written (UTC, to the millisecond).
     pub time: String,
-    /// What stood before the time; the machine's name comes last.
+    /// Last word before the time, usually the name of the machine; `-` if there is
+    /// none.
     pub origin: String,
-    /// The part that wrote it.
+    /// Log target: the part of the system that wrote the line.
     pub target: String,
-    /// Its fields as written.
+    /// Text after the target, as written.
     pub text: String,
     fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Parses a line; `None` if it has not the form.
+    /// Parses a line; `None` if it doesn't have the expected form.
     pub fn parse(line: &str) -> Option<LogLine> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let at = words.iter().position(|word| is_time(word))?;
-        let part = words.get(at + 2)?.strip_suffix(':')?;
-        let rest = &words[at + 3..];
+        let time_index = words.iter().position(|word| is_timestamp(word))?;
+        let target = words.get(time_index + 2)?.strip_suffix(':')?;
+        let rest = &words[time_index + 3..];
         let fields = rest
             .iter()
             .filter_map(|word| word.split_once('='))
             .map(|(key, value)| (key.to_owned(), value.to_owned()))
             .collect();
         Some(LogLine {
-            time: words[at].to_owned(),
-            origin: words[..at].last().copied().unwrap_or("-").to_owned(),
-            target: part.to_owned(),
+            time: words[time_index].to_owned(),
+            origin: words[..time_index]
+                .last()
+                .copied()
+                .unwrap_or("-")
+                .to_owned(),
+            target: target.to_owned(),
             text: rest.join(" "),
             fields,
         })
     }
 
-    /// A field's value, or an empty text.
+    /// Value of a field; empty if the line doesn't have the field.
     pub fn field(&self, key: &str) -> &str {
         self.fields.get(key).map_or("", String::as_str)
     }
 }
 
-/// `2026-02-20T09:19:40.442Z`.
-fn is_time(word: &str) -> bool {
+/// Whether a word is a timestamp such as `2026-02-20T09:19:40.442Z`.
+fn is_timestamp(word: &str) -> bool {
     word.len() == 24 && word.ends_with('Z') && word.as_bytes()[10] == b'T'
 }
 
-/// What the logs tell of one request.
+/// Log lines that explain one request, and the cause of its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// What was believed before, and what happened, in the order of time.
+    /// Lines about the request and the state before it, ordered by time.
     pub lines: Vec<LogLine>,
-    /// The cause in a sentence.
+    /// Cause of the outcome, in one sentence.
     pub cause: String,
 }
 
-/// Joins the lines about a request; `None` when no line names it.
+/// Collects the lines that explain a request; `None` if no line names it.
 pub fn explain_request<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Option<Explanation> {
     let parsed: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
-    let own: Vec<&LogLine> = parsed
+    let request_lines: Vec<&LogLine> = parsed
         .iter()
         .filter(|line| line.field("id") == id)
         .collect();
-    let end = own.iter().map(|line| line.time.as_str()).max()?;
-    let origins: Vec<&str> = own.iter().map(|line| line.origin.as_str()).collect();
-    let back_ends: Vec<&str> = own.iter().map(|line| line.field("back_end")).collect();
-    let mut last = BTreeMap::new();
+    let end_time = request_lines.iter().map(|line| line.time.as_str()).max()?;
+    let origins: Vec<&str> = request_lines
+        .iter()
+        .map(|line| line.origin.as_str())
+        .collect();
+    let back_ends: Vec<&str> = request_lines
+        .iter()
+        .map(|line| line.field("back_end"))
+        .collect();
+    let mut last_lines = BTreeMap::new();
     for line in &parsed {
-        if line.time.as_str() > end || !origins.contains(&line.origin.as_str()) {
+        if line.time.as_str() > end_time || !origins.contains(&line.origin.as_str()) {
             continue;
         }
-        let belief = BELIEF_PARTS.contains(&line.target.as_str())
+        let is_about_back_end = BACK_END_TARGETS.contains(&line.target.as_str())
             && back_ends.contains(&line.field("back_end"));
-        let process = PROCESS_PARTS.contains(&line.target.as_str());
-        if belief || process {
+        let is_about_process = PROCESS_TARGETS.contains(&line.target.as_str());
+        if is_about_back_end || is_about_process {
             let key = (
                 &line.origin,
                 &line.target,
                 line.field("back_end"),
                 line.field("name"),
             );
-            last.insert(key, line);
+            last_lines.insert(key, line);
         }
     }
-    let mut joined: Vec<LogLine> = last
+    let mut joined: Vec<LogLine> = last_lines
         .into_values()
-        .chain(own.iter().copied())
+        .chain(request_lines.iter().copied())
         .cloned()
         .collect();
     joined.sort_by(|a, b| a.time.cmp(&b.time));
     Some(Explanation {
-        cause: cause(&own),
+        cause: cause(&request_lines),
         lines: joined,
     })
 }
 
-fn cause(own: &[&LogLine]) -> String {
-    let Some(end) = own.iter().rfind(|line| line.target == "request") else {
+fn cause(request_lines: &[&LogLine]) -> String {
+    let Some(request_line) = request_lines.iter().rfind(|line| line.target == "request") else {
         return "the request has not ended within these logs".to_owned();
     };
-    let attempt = own.iter().rfind(|line| line.target == "attempt");
-    let met = attempt.map_or_else(
-        || format!("back end {}", end.field("back_ends")),
+    let last_attempt = request_lines.iter().rfind(|line| line.target == "attempt");
+    let attempt_text = last_attempt.map_or_else(
+        || format!("back end {}", request_line.field("back_ends")),
         |attempt| {
             format!(
                 "back end {} ended its attempt as {}",
@@ -124,51 +137,59 @@
             )
         },
     );
-    let denied = own
+    let is_retry_denied = request_lines
         .iter()
         .any(|line| line.target == "retry" && line.field("allowed") == "false");
-    let budget = if denied {
+    let budget_text = if is_retry_denied {
         "; the retry budget was spent"
     } else {
         ""
     };
-    match end.field("outcome") {
+    match request_line.field("outcome") {
         "answered" => format!(
-            "answered with the back end's status {}: {met}{budget}",
-            end.field("status")
+            "answered with the back end's status {}: {attempt_text}{budget_text}",
+            request_line.field("status")
         ),
-        "lost" => format!("it may have run and its answer is lost: {met}{budget}"),
-        "broken_off" => format!("the answer broke off midway: {met}{budget}"),
-        "time_over" => format!("its time was over while {met} was awaited"),
-        "rejected" => format!("not run: {met}{budget}"),
-        "no_back_end" => format!("not run: no back end could take it ({met})"),
-        "busy" => format!("not run: {}", no_room(own)),
+        "lost" => format!("it may have run and its answer is lost: {attempt_text}{budget_text}"),
+        "broken_off" => format!("the answer broke off midway: {attempt_text}{budget_text}"),
+        "time_over" => format!("its time was over while {attempt_text} was awaited"),
+        "rejected" => format!("not run: {attempt_text}{budget_text}"),
+        "no_back_end" => format!("not run: no back end could take it ({attempt_text})"),
+        "busy" => format!("not run: {}", busy_cause(request_lines)),
         "not_ready" => "not run: the router knew no configuration".to_owned(),
         "stopping" => "not run: the router was about to end and no other served".to_owned(),
         "unknown_key" => format!(
             "configuration {} does not know its key",
-            end.field("config")
+            request_line.field("config")
         ),
-        "no_route" => format!("configuration {} has no route for it", end.field("config")),
-        "cut_by_stop" => format!("the router was told to stop and ended before the answer ({met})"),
-        "caller_left" => format!("the caller left before the answer was whole ({met})"),
+        "no_route" => format!(
+            "configuration {} has no route for it",
+            request_line.field("config")
+        ),
+        "cut_by_stop" => {
+            format!("the router was told to stop and ended before the answer ({attempt_text})")
+        }
+        "caller_left" => format!("the caller left before the answer was whole ({attempt_text})"),
         other => format!("refused by the router: {other}"),
     }
 }
 
-/// What the router knew of its pool's room when it refused.
-fn no_room(own: &[&LogLine]) -> String {
-    let Some(refused) = own.iter().rfind(|line| line.target == "admission") else {
+/// Why the router refused the request as `busy`.
+fn busy_cause(request_lines: &[&LogLine]) -> String {
+    let Some(admission_line) = request_lines
+        .iter()
+        .rfind(|line| line.target == "admission")
+    else {
         return "its pool was full".to_owned();
     };
-    let pool = refused.field("pool");
-    let fill = refused.field("pool_fill");
-    let again = if refused.field("returned") == "true" {
+    let pool = admission_line.field("pool");
+    let fill = admission_line.field("pool_fill");
+    let returning_caller_text = if admission_line.field("returned") == "true" {
         "; its caller came back after a refusal, and new ones go first"
     } else {
         ""
     };
-    let why = match refused.field("cause") {
+    let reason = match admission_line.field("cause") {
         "pool_share" => format!(
             "pool {pool} was full ({fill} of its slots) and the router had used its share of it"
         ),
@@ -178,12 +199,12 @@
         "back_ends_reject" => format!("back ends of pool {pool} rejected what they were sent"),
         _ => format!(
             "pool {pool} was full: the best back end {} had {} requests of {}",
-            refused.field("back_end"),
-            refused.field("load"),
-            refused.field("limit"),
+            admission_line.field("back_end"),
+            admission_line.field("load"),
+            admission_line.field("limit"),
         ),
     };
-    format!("{why}{again}")
+    format!("{reason}{returning_caller_text}")
 }
 
 impl fmt::Display for Explanation {
--- a/crates/stacktack-ctl/src/output.rs
+++ b/crates/stacktack-ctl/src/output.rs
@@ -5,19 +5,19 @@
 use stacktack_node::configuration_store::StoreError;
 use thiserror::Error;
 
-/// Everything went as asked.
+/// The command succeeded.
 pub const EXIT_DONE: i32 = 0;
 
-/// Something failed that is none of the others.
+/// The command failed for a reason that has no exit code of its own.
 pub const EXIT_FAILED: i32 = 1;
 
-/// Flags, arguments or a document are not allowed.
+/// The flags, the arguments, a file or a log is invalid.
 pub const EXIT_INVALID: i32 = 2;
 
 /// Another change was accepted first.
 pub const EXIT_LOST_RACE: i32 = 3;
 
-/// Nobody can tell whether the change was accepted.
+/// It is unknown whether the change was accepted.
 pub const EXIT_UNKNOWN: i32 = 4;
 
 /// A recorded decision does not follow from its recorded inputs.
@@ -26,49 +26,49 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[error("{0}; --help lists the commands")]
     Usage(String),
     /// A file cannot be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
     /// No log line names the request.
     #[error("no line of these logs names request {0}")]
     NotLogged(String),
-    /// A document is not acceptable.
+    /// A document is invalid.
     #[error(transparent)]
     Document(#[from] DocumentError),
     /// The configuration could not be read or changed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The platform did not answer.
+    /// A request to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// A process did not answer.
+    /// A request to a process failed.
     #[error("{name} does not answer: {reason}")]
     Process {
-        /// The process.
+        /// Name of the process.
         name: String,
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
-    /// A document could not be written as text.
+    /// A document could not be encoded as TOML.
     #[error("the document could not be written: {0}")]
     Encoding(#[from] toml::ser::Error),
-    /// A decision does not follow from its inputs.
+    /// A recorded decision does not follow from its recorded inputs.
     #[error("decision {0} does not follow from its recorded inputs")]
     NotVerified(String),
-    /// Processes did not take the configuration in time.
+    /// Some processes did not put the configuration in force in time.
     #[error("version {version} is not in force at: {names}")]
     NotInForce {
-        /// The version.
+        /// The awaited version.
         version: u64,
-        /// Processes that have another one.
+        /// Names of the processes that hold an earlier version or don't report one.
         names: String,
     },
 }
--- a/crates/stacktack-ctl/tests/explanation.rs
+++ b/crates/stacktack-ctl/tests/explanation.rs
@@ -1,4 +1,4 @@
-//! Accounts of failed requests from logs.
+//! Explanations of failed requests from logs.
 
 use expect_test::expect;
 use stacktack_ctl::explanation::explain_request;
@@ -24,7 +24,7 @@
 ";
 
 #[test]
-fn an_account_joins_what_was_believed_and_what_happened() {
+fn an_explanation_joins_the_prior_state_and_the_events_of_a_request() {
     let explanation = explain_request("aa", LOG.lines()).expect("known");
     expect![[r#"
         2026-04-27T14:24:07.200Z front-a configuration: version=9 before=6 routes=17 adopted=true
--- a/crates/stacktack-ctl/tests/settings.rs
+++ b/crates/stacktack-ctl/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `stacktack-ctl`: faults are reported together, with exit code 2.
+//! Command line of `stacktack-ctl`: help, version, and exit code 2 for an unknown flag.
 
 use std::process::{Command, Output};
 
