--- a/crates/stacktack-node/src/client.rs
+++ b/crates/stacktack-node/src/client.rs
@@ -1,8 +1,8 @@
-//! Clients of the platform: table, objects, machine list.
+//! Client of the platform's services: table, object store and machine list.
 //!
 //! The protocol is HTTP with JSON bodies, as `docs/platform-protocol.md`
-//! describes it. A reply that does not come is reported as lost, never as a
-//! failure: the write behind it may have taken effect.
+//! describes it. A missing reply is reported as lost, never as a failure,
+//! because the write that it would confirm may have taken effect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,36 +14,37 @@
 use stacktack_core::ledger::{Row, RowVersion, TableOperation, TableReply};
 use thiserror::Error;
 
-/// Time to wait for a reply of the platform.
+/// Maximum time to wait for a reply of the platform.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest reply read, in bytes.
-const MAXIMUM_REPLY: usize = 16 * 1024 * 1024;
+/// Maximum size of the body of a reply.
+const MAX_REPLY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The platform did not do what was asked.
+/// A request to the platform did not succeed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// Nothing answers at the address.
+    /// No connection to the address could be opened.
     #[error("the platform cannot be reached")]
     Unreachable,
-    /// No reply came; what was asked may have taken effect.
+    /// No reply arrived; the request may have taken effect.
     #[error("the platform's reply was lost")]
     ReplyLost,
-    /// The platform is down or over its rate.
+    /// The platform replied with an unexpected status, for example because it is
+    /// down or over its rate limit.
     #[error("the platform refused with status {0}")]
     Refused(u16),
-    /// The reply makes no sense.
+    /// A JSON text, usually of the reply, does not parse.
     #[error("the platform's reply does not parse: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// What a machine does.
+/// Role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts requests of callers.
     Router,
-    /// Stands before a back end.
+    /// Runs beside a back end and admits its requests.
     Agent,
 }
 
@@ -52,9 +53,9 @@
 pub struct Machine {
     /// Configured name.
     pub name: String,
-    /// What it does.
+    /// Role of the machine.
     pub role: Role,
-    /// Zone, as the process's settings say.
+    /// Zone from the settings of the process.
     pub zone: String,
     /// Address for traffic between processes.
     pub address: SocketAddr,
@@ -62,7 +63,7 @@
     pub gossip: SocketAddr,
     /// Address for operators.
     pub operator: SocketAddr,
-    /// Life of the process.
+    /// Incarnation of the process.
     pub incarnation: u64,
     /// Whether the platform is about to take the machine away.
     #[serde(default)]
@@ -74,7 +75,7 @@
 pub struct PutRow {
     /// New value.
     pub value: String,
-    /// Version that the row must have; none for an absent row.
+    /// Version that the row must have; `None` if the row must be absent.
     pub expected: Option<RowVersion>,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl PlatformClient {
-    /// A client for an address.
+    /// Creates a client of the platform at an address.
     pub fn new(address: SocketAddr) -> Self {
         PlatformClient {
             client: Client::builder().timeout(REPLY_TIMEOUT).finish(),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Carries out a table operation.
+    /// Carries out a table operation; any error counts as a lost reply.
     pub async fn table(&self, operation: &TableOperation) -> TableReply {
         let result = match operation {
             TableOperation::Get { key } => self.get_row(key).await.map(TableReply::Read),
@@ -144,7 +145,8 @@
         }
     }
 
-    /// A machine list, `machines` for all or `machines/leaving`; it lags.
+    /// Reads a machine list: `machines` for all machines, or `machines/leaving`.
+    /// The list lags behind the machines.
     pub async fn machines(&self, list: &str) -> Result<Vec<Machine>, PlatformError> {
         let (status, body) = self.exchange("GET", &format!("/{list}"), None).await?;
         if status != StatusCode::OK {
@@ -153,7 +155,7 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Tells the platform that this machine is up.
+    /// Registers this machine as running.
     pub async fn register(&self, machine: &Machine) -> Result<(), PlatformError> {
         let path = format!("/machines/{}", machine.name);
         let bytes = serde_json::to_vec(machine)?;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Sends one request and reads its whole reply.
+    /// Sends one request and reads the complete reply.
     pub async fn exchange(
         &self,
         method: &str,
@@ -187,7 +189,7 @@
             SendRequestError::Connect(_) => PlatformError::Unreachable,
             _ => PlatformError::ReplyLost,
         })?;
-        let body = response.body().limit(MAXIMUM_REPLY).await;
+        let body = response.body().limit(MAX_REPLY_BYTES).await;
         let body = body.map_err(|_| PlatformError::ReplyLost)?;
         Ok((response.status(), body.to_vec()))
     }
--- a/crates/stacktack-node/src/clock.rs
+++ b/crates/stacktack-node/src/clock.rs
@@ -1,8 +1,8 @@
 //! Clocks of a process.
 //!
-//! A machine may be suspended for seconds. The steady clock and the runtime's timers stand
-//! still meanwhile, while leases, news and the patience of callers age. So whatever compares
-//! ages or deadlines takes its time from the clock that counts that time; timers only wake.
+//! A machine may be suspended for seconds. The steady clock and the timers of the runtime stop
+//! meanwhile, but leases, gossip and the timeouts of callers go on aging. So code that compares
+//! ages or deadlines reads the clock that counts suspensions; timers only wake tasks.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 use nix::time::{clock_gettime, ClockId};
 use stacktack_core::time::Time;
 
-/// Two readings of one moment.
+/// Readings of both clocks at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Time since some origin, that in which the machine was suspended included.
+    /// Time since an arbitrary origin, including suspensions of the machine.
     pub elapsed: Duration,
-    /// Time since some origin without that in which the machine was suspended.
+    /// Time since an arbitrary origin, without suspensions of the machine.
     pub steady: Duration,
 }
 
@@ -24,13 +24,13 @@
     pub fn now() -> Self {
         let steady = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
         ClockReading {
-            // Each kernel since 2.6.39 has it; without it suspensions are not seen.
+            // Linux has CLOCK_BOOTTIME since 2.6.39; without it suspensions are not detected.
             elapsed: read(ClockId::CLOCK_BOOTTIME).unwrap_or(steady),
             steady,
         }
     }
 
-    /// Time for which the machine was suspended, up to a constant.
+    /// Total time for which the machine was suspended, up to a constant offset.
     pub fn suspended_time(&self) -> Duration {
         self.elapsed.saturating_sub(self.steady)
     }
@@ -40,28 +40,28 @@
     clock_gettime(clock).map(Duration::from)
 }
 
-/// A process's clock: microseconds since its start, suspensions included.
+/// Clock of a process: microseconds since its start, including suspensions of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: Duration,
 }
 
 impl ProcessClock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         ProcessClock {
             origin: ClockReading::now().elapsed,
         }
     }
 
-    /// The time.
+    /// Time since the start of the clock.
     pub fn now(&self) -> Time {
         let elapsed = ClockReading::now().elapsed.saturating_sub(self.origin);
         Time(elapsed.as_micros() as u64)
     }
 
-    /// When a time of this clock is reached on the runtime's clock, unless the machine is
-    /// suspended before.
+    /// Converts a time of this clock to an instant of the runtime's clock, valid unless the
+    /// machine is suspended before.
     pub fn instant(&self, at: Time) -> Instant {
         Instant::now() + at.since(self.now())
     }
--- a/crates/stacktack-node/src/configuration_store.rs
+++ b/crates/stacktack-node/src/configuration_store.rs
@@ -1,4 +1,4 @@
-//! Reading and changing the configuration in the platform's services.
+//! Reads and changes the configuration in the platform's services.
 
 use futures_util::future::join_all;
 use rand::seq::IndexedRandom;
@@ -19,37 +19,38 @@
 use crate::client::{PlatformClient, PlatformError};
 use crate::control::CHANGES_PATH;
 
-/// Processes that are told of an accepted change.
-const HAND_OVERS: usize = 5;
+/// Number of processes to which an accepted change is sent directly.
+const CHANGE_RECIPIENTS: usize = 5;
 
 /// A configuration could not be read or changed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The platform did not answer.
+    /// A request to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// Rows that the head leads to are missing or broken.
+    /// A change row that the head refers to is missing, or the changes don't apply.
     #[error("the stored configuration is broken behind change {0}")]
     Broken(String),
     /// Another change was accepted first.
     #[error("another change was accepted first; nothing of this one is in force")]
     LostRace,
-    /// Nobody can tell whether the change was accepted.
+    /// It is unknown whether the change was accepted.
     #[error("the platform does not answer; change {0} may or may not be accepted")]
     Unknown(String),
-    /// The document is the one in force.
+    /// The document equals the one in force.
     #[error("nothing differs from the configuration in force")]
     NothingDiffers,
 }
 
-/// The configuration at the head, and what a change has to build on.
+/// The configuration at the head, and the head row on which the next change
+/// builds.
 #[derive(Debug)]
 pub struct Head {
-    /// Row version of the head row; none where there is no head yet.
+    /// Version of the head row; `None` before the first change.
     pub row_version: Option<RowVersion>,
-    /// The head row.
+    /// The head row; `None` before the first change.
     pub row: Option<HeadRow>,
-    /// The configuration.
+    /// The configuration at the head.
     pub configuration: Configuration,
 }
 
@@ -70,9 +71,9 @@
     let configuration = if base.version == head.version {
         base
     } else {
-        let chain = read_changes(platform, base.version, head.change_id.clone()).await?;
+        let stored = read_changes(platform, base.version, head.change_id.clone()).await?;
         let broken = || StoreError::Broken(head.change_id.clone());
-        let changes = chain.ok_or_else(broken)?;
+        let changes = stored.ok_or_else(broken)?;
         let (configuration, _) = base.with_changes(&changes).map_err(|_| broken())?;
         configuration
     };
@@ -95,8 +96,8 @@
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Reads changes from the one at the head back to those behind `held`; none
-/// when a row is missing.
+/// Reads the changes after version `held`, walking back from the change at the
+/// head; `None` if a row is missing or there is no change after `held`.
 pub async fn read_changes(
     platform: &PlatformClient,
     held: ConfigurationVersion,
@@ -119,8 +120,8 @@
     Ok(encode(&changes))
 }
 
-/// Applies a document onto the head that was read; returns the version under
-/// which it was accepted.
+/// Applies a document as the next change after `head`; returns the version
+/// under which it was accepted.
 pub async fn apply_document(
     platform: &PlatformClient,
     head: &Head,
@@ -142,7 +143,7 @@
         },
         previous: head.row.as_ref().map(|row| row.change_id.clone()),
     };
-    let snapshot = next_snapshot(platform, head, version, &change_id, document).await;
+    let snapshot = write_due_snapshot(platform, head, version, &change_id, document).await;
     let next_head = HeadRow {
         version,
         change_id: change_id.clone(),
@@ -157,7 +158,7 @@
                 step = apply.on_reply(reply);
             }
             ApplyStep::Accepted => {
-                hand_over(platform, apply.change()).await;
+                send_to_processes(platform, apply.change()).await;
                 return Ok(version);
             }
             ApplyStep::LostRace => return Err(StoreError::LostRace),
@@ -166,9 +167,9 @@
     }
 }
 
-/// Tells a few processes of an accepted change, so that it spreads even if the
-/// table goes down right behind it. Nothing depends on any of them answering.
-async fn hand_over(platform: &PlatformClient, change: &Change) {
+/// Sends an accepted change to a few processes, so that it spreads by gossip even
+/// if the table goes down right after. Nothing depends on their responses.
+async fn send_to_processes(platform: &PlatformClient, change: &Change) {
     let Some(changes) = encode(std::slice::from_ref(change)) else {
         return;
     };
@@ -176,7 +177,7 @@
         return;
     };
     let machines = platform.machines("machines").await.unwrap_or_default();
-    let chosen = machines.sample(&mut rand::rng(), HAND_OVERS);
+    let chosen = machines.sample(&mut rand::rng(), CHANGE_RECIPIENTS);
     let calls = chosen.map(|machine| {
         let client = PlatformClient::new(machine.operator);
         let body = body.clone();
@@ -184,23 +185,24 @@
     });
     for result in join_all(calls).await {
         if let Err(error) = result {
-            log::debug!(target: "configuration", "a process did not take the change: {error}");
+            log::debug!(target: "configuration", "a process did not receive the change: {error}");
         }
     }
 }
 
-/// Writes a snapshot when one is due; the one before stays when that fails.
-async fn next_snapshot(
+/// Writes a snapshot if one is due. Returns the latest snapshot: the previous one
+/// if none was due or the write failed.
+async fn write_due_snapshot(
     platform: &PlatformClient,
     head: &Head,
     version: ConfigurationVersion,
     change_id: &str,
     document: &Document,
 ) -> Option<SnapshotReference> {
-    let last = head.row.as_ref().and_then(|row| row.snapshot.clone());
-    let last_version = last.as_ref().map_or(0, |snapshot| snapshot.version.0);
-    if version.0 - last_version < SNAPSHOT_INTERVAL {
-        return last;
+    let previous = head.row.as_ref().and_then(|row| row.snapshot.clone());
+    let previous_version = previous.as_ref().map_or(0, |snapshot| snapshot.version.0);
+    if version.0 - previous_version < SNAPSHOT_INTERVAL {
+        return previous;
     }
     let reference = SnapshotReference {
         version,
@@ -217,6 +219,6 @@
         .await
     {
         Ok((status, _)) if status.is_success() => Some(reference),
-        _ => last,
+        _ => previous,
     }
 }
--- a/crates/stacktack-node/src/control.rs
+++ b/crates/stacktack-node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread of a process: drives [`Control`] with a UDP socket, the
-//! platform's client and a clock.
+//! Control thread of a process: drives [`Control`] with a UDP socket, a client of
+//! the platform and a clock.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -26,40 +26,43 @@
 use crate::configuration_store::{read_changes, read_snapshot};
 use crate::http::{json_response, problem_response, read_body};
 
-/// Time between ticks of the control state.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two ticks of the control state.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between registrations with the platform's machine list.
-const REGISTRATION: Duration = Duration::from_secs(5);
+/// Time between two registrations with the platform's machine list.
+const REGISTRATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between the first two reads of the machine list; doubled after each.
-const LIST_FIRST: Duration = Duration::from_millis(100);
+/// Minimum time between the first two reads of the machine list; doubles with
+/// each read up to `MIN_LIST_INTERVAL`.
+const INITIAL_LIST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest time between reads of the whole machine list in the long run.
-const LIST_MINIMUM: Duration = Duration::from_secs(2);
+/// Minimum time between two reads of the whole machine list in the long run.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Bytes a second that reads of the machine list may take on average.
+/// Average rate, in bytes per second, that reads of the machine list may use.
 const LIST_BYTES_PER_SECOND: f64 = 200.0;
 
-/// Bytes of HTTP and TCP headers around one platform call.
-const CALL_OVERHEAD: usize = 500;
+/// Bytes of HTTP and TCP headers counted for one call of the platform.
+const CALL_OVERHEAD_BYTES: usize = 500;
 
-/// What the control thread tells the rest of its process.
+/// Receives events of the control thread for the rest of the process, and reports
+/// the state of the process to it.
 pub trait ControlObserver {
-    /// A later configuration is in force.
+    /// Called when a later configuration is in force.
     fn on_configuration(&self, configuration: Arc<Configuration>, changes: Vec<Change>);
 
-    /// Members or their loads may have changed; called after each tick.
+    /// Called after each tick and each read of the machine list: members or their
+    /// loads may have changed.
     fn on_members(&self, control: &Control);
 
-    /// The platform is about to take this machine away.
+    /// Called when the platform is about to take this machine away.
     fn on_own_machine_leaving(&self);
 
-    /// Load divided by capacity and whether no new work is taken.
+    /// Load divided by capacity, and whether the process accepts no new work.
     fn own_state(&self) -> (f64, bool);
 }
 
-/// A life of a process, from the wall clock.
+/// Incarnation of a process that starts now: milliseconds since the Unix epoch.
 pub fn new_incarnation() -> Incarnation {
     let since_epoch = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -67,7 +70,7 @@
     Incarnation(since_epoch.as_millis() as u64)
 }
 
-/// Handle to the control state on its own thread.
+/// Handle to the control state, for the thread that runs it.
 #[derive(Clone)]
 pub struct ControlHandle {
     inner: Rc<Inner>,
@@ -107,7 +110,7 @@
         Ok(handle)
     }
 
-    /// Hands an input to the control state and carries out what it wants.
+    /// Passes an input to the control state and carries out its outputs.
     pub fn handle(&self, input: ControlInput) {
         let mut outputs = Vec::new();
         let now = self.inner.clock.now();
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Reads the control state.
+    /// Calls a function with the control state.
     pub fn with<T>(&self, read: impl FnOnce(&Control) -> T) -> T {
         read(&self.inner.control.borrow())
     }
@@ -141,7 +144,7 @@
                 actix_rt::spawn(self.clone().fetch_snapshot(peer));
             }
             ControlOutput::ReadLeavingMachines => {
-                actix_rt::spawn(self.clone().read_leaving());
+                actix_rt::spawn(self.clone().read_leaving_machines());
             }
             ControlOutput::Configuration {
                 configuration,
@@ -179,14 +182,14 @@
                     datagram: Box::new(datagram),
                 }),
                 Err(error) => {
-                    log::debug!(target: "control", "a datagram from {source} is passed over: {error}");
+                    log::debug!(target: "control", "a datagram from {source} is ignored: {error}");
                 }
             }
         }
     }
 
     async fn tick(self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
             let (load, draining) = self.inner.observer.own_state();
@@ -199,21 +202,21 @@
     fn charge(&self, bytes: usize) {
         let now = self.inner.clock.now();
         let mut control = self.inner.control.borrow_mut();
-        control.charge(now, bytes + CALL_OVERHEAD);
+        control.charge(now, bytes + CALL_OVERHEAD_BYTES);
     }
 
     async fn register(self, machine: Machine) {
         loop {
             self.charge(0);
             if let Err(error) = self.inner.platform.register(&machine).await {
-                log::debug!(target: "control", "the registration failed: {error}");
+                log::debug!(target: "control", "registration with the platform failed: {error}");
             }
-            sleep(REGISTRATION).await;
+            sleep(REGISTRATION_INTERVAL).await;
         }
     }
 
     async fn read_machines(self) {
-        let mut shortest = LIST_FIRST;
+        let mut min_interval = INITIAL_LIST_INTERVAL;
         loop {
             let pause = match self.inner.platform.machines("machines").await {
                 Ok(machines) => {
@@ -226,15 +229,15 @@
                 }
                 Err(error) => {
                     log::debug!(target: "control", "the machine list was not read: {error}");
-                    shortest
+                    min_interval
                 }
             };
-            sleep(pause.max(shortest)).await;
-            shortest = (shortest * 2).min(LIST_MINIMUM);
+            sleep(pause.max(min_interval)).await;
+            min_interval = (min_interval * 2).min(MIN_LIST_INTERVAL);
         }
     }
 
-    async fn read_leaving(self) {
+    async fn read_leaving_machines(self) {
         self.charge(0);
         let Ok(machines) = self.inner.platform.machines("machines/leaving").await else {
             return;
@@ -278,7 +281,7 @@
         match read_snapshot(&client, CONFIGURATION_PATH).await {
             Ok(object) => self.handle(ControlInput::Snapshot(Box::new(object.into()))),
             Err(error) => {
-                log::debug!(target: "control", "the peer {peer} handed out no configuration: {error}");
+                log::debug!(target: "control", "no configuration was read from peer {peer}: {error}");
             }
         }
     }
@@ -292,14 +295,14 @@
     }
 }
 
-/// Path at which operators hand accepted changes to a process.
+/// Path of a process to which operators send accepted changes.
 pub const CHANGES_PATH: &str = "/changes";
 
-/// Path at which a process hands out the configuration in force.
+/// Path from which a process serves the configuration in force.
 pub const CONFIGURATION_PATH: &str = "/configuration";
 
-/// Hands out the configuration in force, for a process that starts while the
-/// platform does not answer.
+/// Serves the configuration in force to a process that starts while the platform
+/// does not answer.
 pub fn serve_configuration(control: &ControlHandle) -> Response<BoxBody> {
     let configuration = control.with(|control| control.configuration().clone());
     if configuration.version.0 == 0 {
@@ -314,17 +317,17 @@
     json_response(StatusCode::OK, &object)
 }
 
-/// Largest body of changes, in bytes.
-const MAXIMUM_CHANGES: u64 = 16 * 1024 * 1024;
+/// Maximum size of a body of changes.
+const MAX_CHANGES_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body of changes to come.
+/// Maximum time for a body of changes to arrive.
 const CHANGES_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes accepted changes from an operator. They are put in force only if they
-/// follow the version held; others are passed over, and the process catches up
-/// by gossip or its next read of the head.
+/// Receives accepted changes from the command line of an operator. They are put
+/// in force only if they follow the held version; others are ignored, and the
+/// process catches up by gossip or its next read of the head.
 pub async fn receive_changes(control: &ControlHandle, mut request: Request) -> Response<BoxBody> {
-    let body = match read_body(&mut request, MAXIMUM_CHANGES, CHANGES_TIMEOUT).await {
+    let body = match read_body(&mut request, MAX_CHANGES_BYTES, CHANGES_TIMEOUT).await {
         Ok(body) => body,
         Err(error) => return problem_response(&error.problem()),
     };
@@ -341,7 +344,7 @@
     }
 }
 
-/// A machine of the platform's list as a member.
+/// Converts an entry of the platform's machine list to a member.
 pub fn member_of(machine: &Machine) -> MemberInformation {
     MemberInformation {
         name: machine.name.clone(),
--- a/crates/stacktack-node/src/http.rs
+++ b/crates/stacktack-node/src/http.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP on the current thread, with typed problems.
+//! HTTP serving on the current thread, with typed problems.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,25 +21,25 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-/// Time for a caller to send its request head.
+/// Maximum time for a caller to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time that an idle connection is kept.
+/// Time after which an idle connection is closed.
 pub const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// A server could not listen.
+/// A server could not listen on an address.
 #[derive(Debug, Error)]
 #[error("--{flag}: {address} cannot be listened on ({source}); allowed is a free address of this machine")]
 pub struct ListenError {
-    /// The flag that named the address.
+    /// The flag that gave the address.
     pub flag: &'static str,
     /// The address.
     pub address: SocketAddr,
-    /// Why.
+    /// Cause of the failure.
     pub source: std::io::Error,
 }
 
-/// Listens on an address that a flag named.
+/// Listens on the address that a flag gave.
 pub fn listen(
     flag: &'static str,
     address: SocketAddr,
@@ -54,7 +54,7 @@
     Ok(listener)
 }
 
-/// Takes datagrams on an address that a flag named.
+/// Binds a UDP socket to the address that a flag gave.
 pub fn bind_datagram_socket(
     flag: &'static str,
     address: SocketAddr,
@@ -90,8 +90,8 @@
 {
     use actix_service::{Service, ServiceFactory};
     let call = move |request: Request| {
-        let answer = handler(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     };
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
@@ -106,22 +106,22 @@
     }
 }
 
-/// Why a request's body is not available.
+/// Why the body of a request could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// More bytes than allowed.
+    /// The body has more bytes than allowed.
     #[error("the body is over {0} bytes")]
     TooLarge(u64),
-    /// It did not come in time.
+    /// The body did not arrive in time.
     #[error("the body did not come within {0:?}")]
     Timeout(Duration),
-    /// The connection broke or the framing is wrong.
+    /// The connection broke or the framing is invalid.
     #[error("the body broke off")]
     Broken,
 }
 
 impl BodyError {
-    /// The problem reply for it.
+    /// The problem to respond with.
     pub fn problem(&self) -> Problem {
         let kind = match self {
             BodyError::TooLarge(_) => Kind::BodyTooLarge,
@@ -132,31 +132,31 @@
     }
 }
 
-/// Reads a whole request body of at most `limit` bytes within `within`.
+/// Reads a complete request body of at most `max_bytes` within `time_limit`.
 pub async fn read_body(
     request: &mut Request,
-    limit: u64,
-    within: Duration,
+    max_bytes: u64,
+    time_limit: Duration,
 ) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let collect = async {
         let mut body = BytesMut::new();
         while let Some(chunk) = payload.next().await {
             let chunk = chunk.map_err(|_| BodyError::Broken)?;
-            if body.len() as u64 + chunk.len() as u64 > limit {
-                return Err(BodyError::TooLarge(limit));
+            if body.len() as u64 + chunk.len() as u64 > max_bytes {
+                return Err(BodyError::TooLarge(max_bytes));
             }
             body.extend_from_slice(&chunk);
         }
         Ok(body.freeze())
     };
-    match timeout(within, collect).await {
+    match timeout(time_limit, collect).await {
         Ok(result) => result,
-        Err(_) => Err(BodyError::Timeout(within)),
+        Err(_) => Err(BodyError::Timeout(time_limit)),
     }
 }
 
-/// A reply with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json_response(status: StatusCode, body: &impl Serialize) -> Response<BoxBody> {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
     Response::build(status)
@@ -165,7 +165,7 @@
         .map_into_boxed_body()
 }
 
-/// A reply with a text body.
+/// Builds a response with a text body.
 pub fn text_response(status: StatusCode, body: String) -> Response<BoxBody> {
     Response::build(status)
         .insert_header(("content-type", "text/plain; version=0.0.4"))
@@ -173,7 +173,8 @@
         .map_into_boxed_body()
 }
 
-/// A problem reply, with `Retry-After` where the problem names a time.
+/// Builds the response for a problem, with `Retry-After` if the problem gives a
+/// time.
 pub fn problem_response(problem: &Problem) -> Response<BoxBody> {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let bytes = serde_json::to_vec(problem).unwrap_or_default();
@@ -190,7 +191,7 @@
 enum BodyPart {
     /// Bytes to send at once.
     Bytes(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
@@ -198,40 +199,41 @@
 #[derive(Debug)]
 pub struct BodySender {
     parts: UnboundedSender<BodyPart>,
-    waiting: Rc<Cell<usize>>,
+    pending_bytes: Rc<Cell<usize>>,
 }
 
 /// Receiving side of a streamed body.
 #[derive(Debug)]
 pub struct BodyReceiver {
     parts: UnboundedReceiver<BodyPart>,
-    waiting: Rc<Cell<usize>>,
+    pending_bytes: Rc<Cell<usize>>,
 }
 
-/// The reader of a streamed body is gone.
+/// The receiving side of a streamed body was dropped.
 #[derive(Debug, Error)]
-#[error("the body's reader is gone")]
+#[error("the receiver of the body was dropped")]
 pub struct ReceiverDropped;
 
-/// Both sides of a streamed body, for one thread.
+/// Creates both sides of a streamed body, for one thread.
 pub fn body_channel() -> (BodySender, BodyReceiver) {
-    let (sender, receiver) = unbounded_channel();
-    let waiting = Rc::new(Cell::new(0));
-    let source = BodyReceiver {
-        parts: receiver,
-        waiting: waiting.clone(),
+    let (parts_sender, parts_receiver) = unbounded_channel();
+    let pending_bytes = Rc::new(Cell::new(0));
+    let receiver = BodyReceiver {
+        parts: parts_receiver,
+        pending_bytes: pending_bytes.clone(),
     };
     let sender = BodySender {
-        parts: sender,
-        waiting,
+        parts: parts_sender,
+        pending_bytes,
     };
-    (sender, source)
+    (sender, receiver)
 }
 
 impl BodySender {
-    /// Adds bytes.
+    /// Sends a part of the body.
     pub fn send(&self, bytes: Bytes) -> Result<(), ReceiverDropped> {
-        self.waiting.set(self.waiting.get() + bytes.len());
+        self.pending_bytes
+            .set(self.pending_bytes.get() + bytes.len());
         let part = BodyPart::Bytes(bytes);
         self.parts.send(part).map_err(|_| ReceiverDropped)
     }
@@ -241,32 +243,32 @@
         self.parts.send(BodyPart::End).map_err(|_| ReceiverDropped)
     }
 
-    /// Bytes that wait for a slow reader.
+    /// Number of bytes sent but not yet read.
     pub fn pending_bytes(&self) -> usize {
-        self.waiting.get()
+        self.pending_bytes.get()
     }
 }
 
-/// A body fed by a channel. Dropping it before its end calls `on_drop`; a
-/// channel closed before the end breaks the connection, so that a cut body is
-/// never taken for a whole one.
+/// Body of a response, read from a channel. If the body is dropped before its
+/// end, `on_drop` is called. If the channel closes before the end, the connection
+/// breaks, so that a truncated body is never mistaken for a complete one.
 pub struct ChannelBody {
-    source: BodyReceiver,
-    ended: bool,
+    receiver: BodyReceiver,
+    is_complete: bool,
     on_drop: Option<Box<dyn FnOnce()>>,
 }
 
-/// The body's source went away before its end.
+/// The sending side of a streamed body was dropped before the end of the body.
 #[derive(Debug, Error)]
-#[error("the body's source ended early")]
+#[error("the sender of the body was dropped before its end")]
 pub struct BodyAborted;
 
 impl ChannelBody {
-    /// A body with a call for when it is dropped before its end.
-    pub fn new(source: BodyReceiver, on_drop: impl FnOnce() + 'static) -> Self {
+    /// Creates a body; `on_drop` is called if the body is dropped before its end.
+    pub fn new(receiver: BodyReceiver, on_drop: impl FnOnce() + 'static) -> Self {
         ChannelBody {
-            source,
-            ended: false,
+            receiver,
+            is_complete: false,
             on_drop: Some(Box::new(on_drop)),
         }
     }
@@ -274,7 +276,7 @@
 
 impl Drop for ChannelBody {
     fn drop(&mut self) {
-        if let Some(call) = self.on_drop.take().filter(|_| !self.ended) {
+        if let Some(call) = self.on_drop.take().filter(|_| !self.is_complete) {
             call();
         }
     }
@@ -292,18 +294,18 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         let this = self.get_mut();
-        if this.ended {
+        if this.is_complete {
             return Poll::Ready(None);
         }
-        match this.source.parts.poll_recv(context) {
+        match this.receiver.parts.poll_recv(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(BodyPart::Bytes(bytes))) => {
-                let waiting = &this.source.waiting;
-                waiting.set(waiting.get().saturating_sub(bytes.len()));
+                let pending_bytes = &this.receiver.pending_bytes;
+                pending_bytes.set(pending_bytes.get().saturating_sub(bytes.len()));
                 Poll::Ready(Some(Ok(bytes)))
             }
             Poll::Ready(Some(BodyPart::End)) => {
-                this.ended = true;
+                this.is_complete = true;
                 Poll::Ready(None)
             }
             Poll::Ready(None) => Poll::Ready(Some(Err(BodyAborted))),
--- a/crates/stacktack-node/src/lib.rs
+++ b/crates/stacktack-node/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every stacktack process needs around its decisions: settings, logs,
-//! metrics, HTTP serving, and clients of the platform's services.
+//! Input and output shared by the stacktack processes: settings, logs, metrics,
+//! HTTP serving, and clients of the platform's services. The decisions are made
+//! in `stacktack-core`.
 
 pub mod client;
 pub mod clock;
--- a/crates/stacktack-node/src/logging.rs
+++ b/crates/stacktack-node/src/logging.rs
@@ -1,14 +1,15 @@
-//! Logs: `log` with `env_logger`, one line a record, to standard error, or
+//! Logging with `log` and `env_logger`, one line per record, to standard error or
 //! through a bounded queue to standard output.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Starts logging. `RUST_LOG` sets the level; default: `info`.
+/// Starts logging to standard error. `RUST_LOG` sets the level; the default is
+/// `info`.
 ///
-/// A line is `time level prefix: sentence`; the prefix is the record's target,
-/// fixed for each part of the system.
+/// A line is `time level target: sentence`; each part of the system has its own
+/// fixed target.
 pub fn start() {
     start_to(env_logger::Target::Stderr);
 }
@@ -33,62 +34,62 @@
     }
 }
 
-/// Bytes that may wait to be written before lines are left out.
-const WAITING_BYTES: usize = 256 * 1024;
+/// Maximum size of the queue; lines beyond it are dropped.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
-/// Time for which lines are gathered into one write.
-const GATHER: Duration = Duration::from_millis(100);
+/// Time for which lines are collected into one write.
+const BATCH_WINDOW: Duration = Duration::from_millis(100);
 
-/// Lines that wait for the thread that writes them.
+/// Lines that are not yet written, and the number of dropped lines.
 #[derive(Default)]
-struct Waiting {
+struct QueuedLines {
     bytes: Vec<u8>,
-    left_out: u64,
+    dropped_lines: u64,
 }
 
 #[derive(Default)]
 struct Queue {
-    waiting: Mutex<Waiting>,
-    arrived: Condvar,
+    lines: Mutex<QueuedLines>,
+    lines_arrived: Condvar,
 }
 
 impl Queue {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, QueuedLines> {
+        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn push(&self, line: &[u8]) {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > WAITING_BYTES {
-            waiting.left_out += 1;
+        let mut lines = self.lock();
+        if lines.bytes.len() + line.len() > MAX_QUEUED_BYTES {
+            lines.dropped_lines += 1;
             return;
         }
-        let was_empty = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
+        let was_empty = lines.bytes.is_empty();
+        lines.bytes.extend_from_slice(line);
+        drop(lines);
         if was_empty {
-            self.arrived.notify_one();
+            self.lines_arrived.notify_one();
         }
     }
 
-    /// Waits for lines, gathers more for a moment, writes them all.
-    fn write_some(&self) {
-        let waiting = self.lock();
+    /// Waits for a line, collects more for [`BATCH_WINDOW`], then writes them all.
+    fn write_batch(&self) {
+        let lines = self.lock();
         drop(
-            self.arrived
-                .wait_while(waiting, |waiting| waiting.bytes.is_empty()),
+            self.lines_arrived
+                .wait_while(lines, |lines| lines.bytes.is_empty()),
         );
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_WINDOW);
         self.write_all();
     }
 
     fn write_all(&self) {
-        let taken = std::mem::take(&mut *self.lock());
+        let batch = std::mem::take(&mut *self.lock());
         let mut output = std::io::stdout().lock();
-        // Nobody is left to tell when standard output fails.
-        let _ = output.write_all(&taken.bytes);
-        if taken.left_out > 0 {
-            let _ = writeln!(output, "warn log: lines_left_out={}", taken.left_out);
+        // A failure of standard output cannot be reported anywhere.
+        let _ = output.write_all(&batch.bytes);
+        if batch.dropped_lines > 0 {
+            let _ = writeln!(output, "warn log: lines_left_out={}", batch.dropped_lines);
         }
         let _ = output.flush();
     }
@@ -107,27 +108,27 @@
     }
 }
 
-/// The structured log of a process.
+/// Handle to the structured log of a process.
 pub struct StructuredLog(Arc<Queue>);
 
 impl StructuredLog {
-    /// Writes what waits. Called before the process ends.
+    /// Writes all queued lines; to be called before the process ends.
     pub fn flush(&self) {
         self.0.write_all();
     }
 }
 
-/// Starts structured logging to standard output: `time level prefix: key=value ...`.
+/// Starts structured logging to standard output: `time level target: key=value ...`.
 ///
-/// A thread of its own writes, so that a reader that does not read never holds
-/// up a request; lines beyond the bound are left out and counted.
+/// A separate thread writes, so that a stalled reader of standard output never
+/// blocks a request; when the queue is full, further lines are dropped and counted.
 pub fn start_structured() -> StructuredLog {
     let queue = Arc::new(Queue::default());
     let writer = Box::new(QueueWriter(queue.clone()));
     start_to(env_logger::Target::Pipe(writer));
     let writer = queue.clone();
     std::thread::spawn(move || loop {
-        writer.write_some();
+        writer.write_batch();
     });
     StructuredLog(queue)
 }
--- a/crates/stacktack-node/src/metrics.rs
+++ b/crates/stacktack-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: `opentelemetry`, rendered in the Prometheus text format.
+//! Metrics with `opentelemetry`, rendered in the Prometheus text format.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -24,7 +24,7 @@
 }
 
 impl Metrics {
-    /// Sets up the registry and its exporter.
+    /// Creates the registry and its exporter.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -35,12 +35,12 @@
         Ok(Metrics { registry, provider })
     }
 
-    /// The meter on which instruments are made.
+    /// Meter that creates the instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("stacktack")
     }
 
-    /// All metrics as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, MetricsError> {
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
--- a/crates/stacktack-node/src/settings.rs
+++ b/crates/stacktack-node/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings: flags by `getopts`, environment variables behind them.
+//! Settings from command-line flags (`getopts`) and environment variables.
 //!
 //! A flag `--store-address` may also be given as `STACKTACK_STORE_ADDRESS`; the
-//! flag wins. All faults are collected and reported together.
+//! flag takes precedence. All invalid settings are reported together.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 use getopts::Options;
 use thiserror::Error;
 
-/// Exit code for bad settings.
+/// Exit code for invalid settings.
 pub const EXIT_INVALID_SETTINGS: i32 = 2;
 
-/// Exit code for a failure at work, such as a port in use.
+/// Exit code for a failure at run time, such as a port in use.
 pub const EXIT_FAILURE: i32 = 1;
 
-/// One setting that a program takes.
+/// One setting of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Flag {
-    /// Long name without dashes.
+    /// Long name without the leading dashes.
     pub name: &'static str,
-    /// Shape of the value, for `--help`; empty for a switch.
+    /// Placeholder of the value in `--help`; empty for a switch.
     pub value: &'static str,
-    /// Value when neither flag nor variable is given; none makes it required.
+    /// Value if neither flag nor variable is given; `None` for a required setting.
     pub default: Option<&'static str>,
-    /// One sentence for `--help`.
+    /// Description in `--help`.
     pub help: &'static str,
 }
 
 impl Flag {
-    /// A flag that has to be given.
+    /// A required flag.
     pub const fn required(name: &'static str, value: &'static str, help: &'static str) -> Self {
         Flag {
             name,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Name of the environment variable behind the flag.
+    /// Name of the environment variable of the flag.
     pub fn variable(&self) -> String {
         format!(
             "STACKTACK_{}",
@@ -76,14 +76,14 @@
     }
 }
 
-/// One setting that is not allowed.
+/// An invalid value of one setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// Flag as written on the command line.
+    /// The flag with its dashes, the program's name, or a surplus argument.
     pub flag: String,
-    /// The value given.
+    /// The given value, or what is wrong.
     pub value: String,
-    /// What is allowed.
+    /// The allowed values, or where they are listed.
     pub allowed: String,
 }
 
@@ -97,36 +97,39 @@
     }
 }
 
-/// Settings are not usable.
+/// One or more settings are invalid.
 #[derive(Debug, Error)]
-#[error("{}", lines(.0))]
+#[error("{}", join_lines(.0))]
 pub struct SettingsError(pub Vec<InvalidSetting>);
 
-fn lines(faults: &[InvalidSetting]) -> String {
-    let lines: Vec<String> = faults.iter().map(InvalidSetting::to_string).collect();
+fn join_lines(invalid_settings: &[InvalidSetting]) -> String {
+    let lines: Vec<String> = invalid_settings
+        .iter()
+        .map(InvalidSetting::to_string)
+        .collect();
     lines.join("\n")
 }
 
-/// What the command line asks for.
+/// Action that the command line asks for.
 #[derive(Debug)]
 pub enum Invocation {
-    /// Print this text and exit 0.
+    /// Print this text and exit with code 0.
     Print(String),
     /// Run with these settings.
     Run(Settings),
 }
 
-/// Values of all flags, with the faults found so far.
+/// Values of all flags, and the invalid ones found so far.
 #[derive(Debug)]
 pub struct Settings {
     values: Vec<(&'static str, Option<String>)>,
-    faults: Vec<InvalidSetting>,
-    /// Arguments that are no flags.
+    invalid_settings: Vec<InvalidSetting>,
+    /// Arguments that are neither flags nor their values.
     pub positional_arguments: Vec<String>,
 }
 
-/// Reads a program's settings from arguments (without the program's name) and
-/// environment.
+/// Reads the settings of a program from its arguments (without the program's
+/// name) and the environment.
 pub fn read(
     program: &str,
     summary: &str,
@@ -163,13 +166,13 @@
     }
     Ok(Invocation::Run(Settings {
         values,
-        faults: Vec::new(),
+        invalid_settings: Vec::new(),
         positional_arguments: matches.free,
     }))
 }
 
-/// Reads settings from the process; prints and exits where that is asked for
-/// or the settings are bad.
+/// Reads the settings from the arguments and environment of the process. Exits
+/// after printing the help, the version or the errors of the command line.
 pub fn read_or_exit(program: &str, summary: &str, flags: &[Flag]) -> Settings {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let variable = |name: &str| std::env::var(name).ok();
@@ -183,7 +186,7 @@
     }
 }
 
-/// Prints the faults and exits with [`EXIT_INVALID_SETTINGS`].
+/// Prints the invalid settings and exits with [`EXIT_INVALID_SETTINGS`].
 pub fn exit_with(error: &SettingsError) -> ! {
     eprintln!("{error}");
     std::process::exit(EXIT_INVALID_SETTINGS);
@@ -229,8 +232,8 @@
         entry.and_then(|(_, value)| value.as_deref())
     }
 
-    fn fault(&mut self, name: &str, value: &str, allowed: String) {
-        self.faults.push(InvalidSetting {
+    fn add_invalid(&mut self, name: &str, value: &str, allowed: String) {
+        self.invalid_settings.push(InvalidSetting {
             flag: format!("--{name}"),
             value: value.to_string(),
             allowed,
@@ -245,31 +248,31 @@
         placeholder: T,
     ) -> T {
         let Some(text) = self.raw(name).map(String::from) else {
-            self.fault(name, "nothing", format!("allowed is {allowed}"));
+            self.add_invalid(name, "nothing", format!("allowed is {allowed}"));
             return placeholder;
         };
         match parse(&text) {
             Some(value) => value,
             None => {
-                self.fault(name, &text, format!("allowed is {allowed}"));
+                self.add_invalid(name, &text, format!("allowed is {allowed}"));
                 placeholder
             }
         }
     }
 
-    /// A non-empty text.
+    /// Reads a non-empty text.
     pub fn text(&mut self, name: &str) -> String {
         let parse = |text: &str| (!text.is_empty()).then(|| text.to_string());
         self.parse_or(name, "a non-empty text", parse, String::new())
     }
 
-    /// A text that may be empty.
+    /// Reads a text; `None` if it is empty.
     pub fn optional_text(&mut self, name: &str) -> Option<String> {
         let text = self.raw(name)?.to_string();
         (!text.is_empty()).then_some(text)
     }
 
-    /// Whether a switch is given.
+    /// Reads whether a switch is on.
     pub fn switch(&mut self, name: &str) -> bool {
         let parse = |text: &str| match text {
             "true" | "1" => Some(true),
@@ -279,7 +282,7 @@
         self.parse_or(name, "true or false", parse, false)
     }
 
-    /// An IP address and port.
+    /// Reads an IP address and port.
     pub fn address(&mut self, name: &str) -> SocketAddr {
         let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
         let parse = |text: &str| text.parse().ok();
@@ -291,7 +294,7 @@
         )
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     pub fn number<T>(&mut self, name: &str, range: RangeInclusive<T>) -> T
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
@@ -301,7 +304,7 @@
         self.parse_or(name, &allowed, parse, *range.start())
     }
 
-    /// Numbers within a range, separated by commas.
+    /// Reads numbers within a range, separated by commas.
     pub fn numbers<T>(&mut self, name: &str, range: RangeInclusive<T>) -> Vec<T>
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
@@ -318,12 +321,12 @@
         self.parse_or(name, &allowed, parse, Vec::new())
     }
 
-    /// A span in milliseconds within a range.
+    /// Reads a duration in milliseconds within a range.
     pub fn milliseconds(&mut self, name: &str, range: RangeInclusive<u64>) -> Duration {
         Duration::from_millis(self.number(name, range))
     }
 
-    /// One of a type's values, by its own parser.
+    /// Reads one of the named values in `choices`, which must not be empty.
     pub fn choice<T: Copy>(&mut self, name: &str, choices: &[(&str, T)]) -> T {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let allowed = format!("one of {}", names.join(", "));
@@ -334,23 +337,23 @@
         self.parse_or(name, &allowed, parse, choices[0].1)
     }
 
-    /// All faults so far, or nothing.
+    /// Fails with all invalid settings found so far; surplus arguments are invalid.
     pub fn check(&mut self) -> Result<(), SettingsError> {
         let positional_arguments = std::mem::take(&mut self.positional_arguments);
         for argument in &positional_arguments {
-            self.faults.push(InvalidSetting {
+            self.invalid_settings.push(InvalidSetting {
                 flag: argument.clone(),
                 value: String::from("an argument without a flag"),
                 allowed: String::from("--help lists the flags"),
             });
         }
-        if self.faults.is_empty() {
+        if self.invalid_settings.is_empty() {
             return Ok(());
         }
-        Err(SettingsError(std::mem::take(&mut self.faults)))
+        Err(SettingsError(std::mem::take(&mut self.invalid_settings)))
     }
 
-    /// Exits when there are faults.
+    /// Exits if there are invalid settings.
     pub fn check_or_exit(&mut self) {
         if let Err(error) = self.check() {
             exit_with(&error);
--- a/crates/stacktack-node/src/signals.rs
+++ b/crates/stacktack-node/src/signals.rs
@@ -2,14 +2,14 @@
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// `SIGTERM` and `SIGINT`, caught from the moment that this is made: before it, they end the process at once.
+/// Receiver of `SIGTERM` and `SIGINT`. Until it is created, these signals end the process at once.
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl StopSignals {
-    /// Catches the signals from now on.
+    /// Starts to catch the signals.
     pub fn catch() -> std::io::Result<Self> {
         Ok(StopSignals {
             terminate: signal(SignalKind::terminate())?,
@@ -17,7 +17,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for either signal.
     pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/stacktack-node/tests/clock.rs
+++ b/crates/stacktack-node/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process.
+//! Clocks of a process.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn times_are_found_again_on_the_runtimes_clock() {
+fn process_times_convert_to_instants_of_the_runtime() {
     let clock = ProcessClock::start();
     let before = Instant::now();
     let at = clock.now() + Duration::from_secs(60);
