--- a/crates/stacktack-agent/src/app.rs
+++ b/crates/stacktack-agent/src/app.rs
@@ -1,4 +1,4 @@
-//! The agent's process: start, signals, stop.
+//! The agent process: start-up, signals, graceful shutdown.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,28 +24,28 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-use crate::backend::Backend;
-use crate::operator::{register_metrics, Operator};
+use crate::backend::BackendClient;
+use crate::operator::{register_metrics, OperatorEndpoint};
 use crate::settings::AgentSettings;
 use crate::shared::{TrafficCommand, TrafficState};
-use crate::traffic::Traffic;
+use crate::traffic::TrafficHandle;
 
-/// Time between looks at what is in flight while stopping.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Time between two checks for attempts in flight during shutdown.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why an agent stopped early.
+/// Errors that end an agent process.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// An address cannot be listened on.
+    /// A listening address is not available.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// Sockets or signals failed.
-    #[error("input or output failed: {0}")]
+    /// A socket or signal operation failed.
+    #[error("I/O error: {0}")]
     Io(#[from] std::io::Error),
-    /// A state chart is not usable.
-    #[error("state chart: {0}")]
+    /// A state chart is invalid.
+    #[error("invalid state chart: {0}")]
     Chart(#[from] stacktack_core::chart::ChartError),
-    /// Metrics could not be set up.
+    /// Metrics could not be initialized.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
@@ -87,7 +87,7 @@
         state.clone(),
     )?;
     let control = start_control(&settings, clock, incarnation, socket, &commands, &state)?;
-    let operator = Rc::new(Operator {
+    let operator = Rc::new(OperatorEndpoint {
         name: settings.name.clone(),
         zone: settings.zone.clone(),
         state: state.clone(),
@@ -97,13 +97,13 @@
     });
     actix_rt::spawn(async move {
         let served = serve(operator_listener, move |request| {
-            operator.clone().answer(request)
+            operator.clone().respond(request)
         });
         if let Err(error) = served.await {
-            log::error!(target: "operator", "the operators' address failed: {error}");
+            log::error!(target: "operator", "the operator endpoint failed: {error}");
         }
     });
-    log::info!(target: "agent", "{} takes routers on {}", settings.name, settings.listen);
+    log::info!(target: "agent", "{} accepts routers on {}", settings.name, settings.listen);
     stop_signals.wait().await;
     stop(&commands, &state).await;
     Ok(())
@@ -122,8 +122,8 @@
     let address = settings.backend;
     let arbiter = Arbiter::new();
     arbiter.spawn_fn(move || {
-        let backend = Backend::new(address);
-        if let Err(error) = Traffic::start(gate, clock, backend, listener, commands, state) {
+        let backend = BackendClient::new(address);
+        if let Err(error) = TrafficHandle::start(gate, clock, backend, listener, commands, state) {
             log::error!(target: "traffic", "the traffic thread did not start: {error}");
             std::process::exit(EXIT_FAILURE);
         }
@@ -166,7 +166,7 @@
     )?)
 }
 
-/// Passes what the control thread learns to the traffic thread.
+/// Forwards updates of the control state to the traffic thread.
 struct Observer {
     commands: UnboundedSender<TrafficCommand>,
     state: Arc<TrafficState>,
@@ -175,7 +175,7 @@
 impl Observer {
     fn send(&self, command: TrafficCommand) {
         if self.commands.send(command).is_err() {
-            log::error!(target: "agent", "the traffic thread is gone");
+            log::error!(target: "agent", "the traffic thread has ended");
             std::process::exit(EXIT_FAILURE);
         }
     }
@@ -200,18 +200,19 @@
     }
 }
 
-/// Takes no new work, waits for what is in flight, sends what is to be sent.
+/// Starts draining, waits until no attempt is in flight, then sends all queued
+/// messages and closes the routers' connections.
 async fn stop(commands: &UnboundedSender<TrafficCommand>, state: &TrafficState) {
-    log::info!(target: "agent", "stopping: no new work is taken");
+    log::info!(target: "agent", "stopping: new attempts are refused");
     if commands.send(TrafficCommand::Drain(true)).is_err() {
         return;
     }
     while !state.draining() || state.in_flight() > 0 {
-        actix_rt::time::sleep(STOP_POLL).await;
+        actix_rt::time::sleep(STOP_POLL_INTERVAL).await;
     }
     let (done, closed) = oneshot::channel();
     if commands.send(TrafficCommand::Close(done)).is_ok() && closed.await.is_err() {
         log::warn!(target: "agent", "the traffic thread ended before its connections closed");
     }
-    log::info!(target: "agent", "stopped: nothing is in flight");
+    log::info!(target: "agent", "stopped: no attempts are in flight");
 }
--- a/crates/stacktack-agent/src/backend.rs
+++ b/crates/stacktack-agent/src/backend.rs
@@ -1,7 +1,7 @@
-//! Calls to the back end: chat completions to an engine, plain calls to a
-//! service. Each reports what happened as [`BackendEvent`]s; only what never
-//! left this process is reported as not run, besides the back end's own
-//! refusals.
+//! HTTP calls to the back end: chat completions to an engine, plain requests to
+//! a service. Each call reports its progress as [`BackendEvent`]s. An attempt is
+//! reported as not run only if it was never sent, because connecting failed, or
+//! if the back end refused it.
 
 use std::net::SocketAddr;
 
@@ -16,25 +16,26 @@
 use stacktack_wire::identity::AttemptId;
 use stacktack_wire::message::{Offer, Payload, Priority, Usage};
 
-use crate::events::{usage_of_body, EventSplitter};
+use crate::events::{parse_usage, EventSplitter};
 
-/// Largest whole body that a back end may answer, in bytes.
-const MAXIMUM_ANSWER: usize = 8 * 1024 * 1024;
+/// Maximum size of a response body that is not an event stream; such a body is
+/// buffered until it is complete.
+const MAX_BUFFERED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Client of one back end, for one thread.
+/// HTTP client of one back end; not shared between threads.
 #[derive(Clone)]
-pub struct Backend {
+pub struct BackendClient {
     client: Client,
     base: String,
 }
 
 type Response = awc::ClientResponse;
 
-impl Backend {
-    /// A client for an address.
+impl BackendClient {
+    /// Creates a client for the back end's address.
     pub fn new(address: SocketAddr) -> Self {
         let connector = Connector::new().limit(0);
-        Backend {
+        BackendClient {
             client: Client::builder()
                 .connector(connector)
                 .disable_timeout()
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Runs an attempt and reports each step.
+    /// Sends an attempt to the back end and reports each event of its response.
     pub async fn run(&self, attempt: AttemptId, offer: &Offer, report: impl Fn(BackendEvent)) {
         let sent = match &offer.payload {
             Payload::Chat { body, .. } => self.send_chat(attempt, offer.priority, body).await,
@@ -72,35 +73,35 @@
         let is_stream = matches!(offer.payload, Payload::Chat { stream: true, .. });
         match sent {
             Err(SendRequestError::Connect(error)) => {
-                log::warn!(target: "backend", "attempt {attempt}: the back end cannot be reached: {error}");
+                log::warn!(target: "backend", "attempt {attempt}: connecting to the back end failed: {error}");
                 report(BackendEvent::Unreachable);
             }
             Err(error) => {
-                log::warn!(target: "backend", "attempt {attempt}: the call broke: {error}");
+                log::warn!(target: "backend", "attempt {attempt}: the call failed: {error}");
                 report(BackendEvent::Cut);
             }
-            Ok(response) => pass_on(attempt, response, is_stream, 0, report).await,
+            Ok(response) => forward_response(attempt, response, is_stream, 0, report).await,
         }
     }
 
-    /// Takes up an engine's stream from a piece onwards.
+    /// Resumes an engine's stream from the piece with index `offset`.
     pub async fn resume(&self, attempt: AttemptId, offset: u64, report: impl Fn(BackendEvent)) {
         let url = format!("{}/v1/streams/{attempt}?offset={offset}", self.base);
         match self.client.get(url).send().await {
             Ok(response) if response.status() == StatusCode::OK => {
                 let is_stream = is_event_stream(&response);
-                pass_on(attempt, response, is_stream, offset, report).await;
+                forward_response(attempt, response, is_stream, offset, report).await;
             }
             Ok(_) => report(BackendEvent::Invalid),
             Err(_) => report(BackendEvent::Cut),
         }
     }
 
-    /// Stops an engine's stream.
+    /// Cancels an engine's stream.
     pub async fn cancel(&self, attempt: AttemptId) {
         let url = format!("{}/v1/streams/{attempt}", self.base);
         if let Err(error) = self.client.delete(url).send().await {
-            log::warn!(target: "backend", "attempt {attempt}: the cancel was not sent: {error}");
+            log::warn!(target: "backend", "attempt {attempt}: the cancellation failed: {error}");
         }
     }
 
@@ -138,7 +139,9 @@
         .to_string()
 }
 
-async fn pass_on(
+/// Reports the events of a response until it ends. `offset` is the index of the
+/// first piece of an event stream.
+async fn forward_response(
     attempt: AttemptId,
     response: Response,
     is_stream: bool,
@@ -161,13 +164,13 @@
         content_type,
     }));
     if events {
-        pass_events(attempt, response, offset, report).await;
+        forward_events(attempt, response, offset, report).await;
     } else {
-        pass_body(attempt, response, report).await;
+        forward_body(attempt, response, report).await;
     }
 }
 
-async fn pass_events(
+async fn forward_events(
     attempt: AttemptId,
     mut response: Response,
     mut offset: u64,
@@ -189,30 +192,30 @@
             return;
         }
     }
-    log::info!(target: "backend", "attempt {attempt}: the stream broke off behind piece {offset}");
+    log::info!(target: "backend", "attempt {attempt}: the stream ended early, before piece {offset}");
     report(BackendEvent::Cut);
 }
 
-async fn pass_body(attempt: AttemptId, mut response: Response, report: impl Fn(BackendEvent)) {
+async fn forward_body(attempt: AttemptId, mut response: Response, report: impl Fn(BackendEvent)) {
     let mut body = BytesMut::new();
     while let Some(chunk) = response.next().await {
         match chunk {
-            Ok(chunk) if body.len() + chunk.len() <= MAXIMUM_ANSWER => {
+            Ok(chunk) if body.len() + chunk.len() <= MAX_BUFFERED_BODY_BYTES => {
                 body.extend_from_slice(&chunk);
             }
             Ok(_) => {
-                log::error!(target: "backend", "attempt {attempt}: the answer is over {MAXIMUM_ANSWER} bytes");
+                log::error!(target: "backend", "attempt {attempt}: the response exceeds {MAX_BUFFERED_BODY_BYTES} bytes");
                 report(BackendEvent::Invalid);
                 return;
             }
             Err(error) => {
-                log::warn!(target: "backend", "attempt {attempt}: the answer broke off: {error}");
+                log::warn!(target: "backend", "attempt {attempt}: the response ended early: {error}");
                 report(BackendEvent::Cut);
                 return;
             }
         }
     }
-    let usage: Usage = usage_of_body(&body).unwrap_or_default();
+    let usage: Usage = parse_usage(&body).unwrap_or_default();
     let pieces = vec![body.freeze()];
     report(BackendEvent::Pieces { offset: 0, pieces });
     report(BackendEvent::Finished(usage));
--- a/crates/stacktack-agent/src/events.rs
+++ b/crates/stacktack-agent/src/events.rs
@@ -1,42 +1,42 @@
-//! Cutting an engine's event stream into pieces.
+//! Splits an engine's event stream into events.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 use stacktack_wire::message::Usage;
 
-/// What separates events.
-const SEPARATOR: &[u8] = b"\n\n";
+/// Separator between events.
+const EVENT_SEPARATOR: &[u8] = b"\n\n";
 
-/// Data of the last event.
-const DONE: &[u8] = b"data: [DONE]";
+/// Start of the last event of a stream.
+const DONE_PREFIX: &[u8] = b"data: [DONE]";
 
-/// Mark of events that carry token counts.
-const USAGE_MARK: &[u8] = b"\"usage\"";
+/// JSON key of token counts; only events that contain it are parsed.
+const USAGE_KEY: &[u8] = b"\"usage\"";
 
-/// Collects bytes into whole events.
+/// Assembles chunks of bytes into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Whether the last event came.
+    /// Whether the final `[DONE]` event was received.
     pub done: bool,
-    /// Token counts, once they came.
+    /// Token counts, from the latest event that had them.
     pub usage: Option<Usage>,
 }
 
 impl EventSplitter {
-    /// Takes bytes in and returns the events that are whole now. The final
-    /// `[DONE]` is not one of them.
+    /// Appends bytes and returns the events that are now complete, without the
+    /// final `[DONE]`.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = find(&self.buffer, SEPARATOR) {
-            let event = self.buffer.split_to(end + SEPARATOR.len()).freeze();
-            if event.starts_with(DONE) {
+        while let Some(end) = find(&self.buffer, EVENT_SEPARATOR) {
+            let event = self.buffer.split_to(end + EVENT_SEPARATOR.len()).freeze();
+            if event.starts_with(DONE_PREFIX) {
                 self.done = true;
                 continue;
             }
-            if find(&event, USAGE_MARK).is_some() {
-                self.usage = usage_of_event(&event).or(self.usage);
+            if find(&event, USAGE_KEY).is_some() {
+                self.usage = parse_event_usage(&event).or(self.usage);
             }
             events.push(event);
         }
@@ -69,13 +69,14 @@
     cached_tokens: u32,
 }
 
-fn usage_of_event(event: &[u8]) -> Option<Usage> {
+fn parse_event_usage(event: &[u8]) -> Option<Usage> {
     let start = find(event, b"data: ")? + b"data: ".len();
-    usage_of_body(&event[start..])
+    parse_usage(&event[start..])
 }
 
-/// Token counts in a JSON body of an engine.
-pub fn usage_of_body(body: &[u8]) -> Option<Usage> {
+/// Parses the token counts in a JSON body of an engine; returns none if there are
+/// none.
+pub fn parse_usage(body: &[u8]) -> Option<Usage> {
     let body: UsageBody = serde_json::from_slice(body).ok()?;
     let usage = body.usage?;
     Some(Usage {
--- a/crates/stacktack-agent/src/lib.rs
+++ b/crates/stacktack-agent/src/lib.rs
@@ -1,6 +1,7 @@
-//! The stacktack agent: the single gate in front of one back end.
+//! The stacktack agent: the only gate in front of one back end, which admits,
+//! queues and runs the attempts that routers offer.
 //!
-//! The control thread runs gossip, configuration and the operators' address;
+//! The control thread runs gossip, configuration and the operator endpoint;
 //! the traffic thread owns the [`Gate`](stacktack_core::gate::Gate), the
 //! routers' connections and the calls to the back end.
 
--- a/crates/stacktack-agent/src/operator.rs
+++ b/crates/stacktack-agent/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' address of an agent.
+//! The operator endpoint of an agent: health, status, metrics, configuration and
+//! draining over HTTP.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 
 use crate::shared::{TrafficCommand, TrafficState};
 
-/// What an agent says of itself.
+/// Response body of `GET /status`.
 #[derive(Debug, Serialize)]
 struct Status {
     name: String,
@@ -38,25 +39,25 @@
     cached_tokens: u64,
 }
 
-/// Answers operators' calls.
-pub struct Operator {
+/// Handles operators' HTTP requests.
+pub struct OperatorEndpoint {
     /// Name of the agent.
     pub name: String,
-    /// Its zone.
+    /// Zone of the agent.
     pub zone: String,
-    /// State of the traffic thread.
+    /// State that the traffic thread publishes.
     pub state: Arc<TrafficState>,
-    /// Commands to the traffic thread.
+    /// Sends commands to the traffic thread.
     pub commands: UnboundedSender<TrafficCommand>,
-    /// The control state.
+    /// Handle to the control state.
     pub control: ControlHandle,
-    /// Metrics.
+    /// Metrics rendered at `/metrics`.
     pub metrics: Metrics,
 }
 
-impl Operator {
-    /// Answers one call.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response<BoxBody> {
+impl OperatorEndpoint {
+    /// Responds to one operator request.
+    pub async fn respond(self: Rc<Self>, request: Request) -> Response<BoxBody> {
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
             return take_changes(&self.control, request).await;
         }
@@ -123,11 +124,12 @@
     }
 }
 
-type Count = fn(&GateCounters) -> u64;
+/// Selects the value of one metric.
+type CounterReader = fn(&GateCounters) -> u64;
 
-/// Instruments read from the traffic thread's state.
+/// Registers the agent's metrics, which read the state that the traffic thread publishes.
 pub fn register_metrics(meter: &Meter, state: &Arc<TrafficState>) {
-    let counters: [(&'static str, &'static str, Count); 7] = [
+    let counters: [(&'static str, &'static str, CounterReader); 7] = [
         (
             "agent_attempts_started",
             "attempts sent to the back end",
--- a/crates/stacktack-agent/src/settings.rs
+++ b/crates/stacktack-agent/src/settings.rs
@@ -7,24 +7,24 @@
 const FLAGS: &[Flag] = &[
     Flag::required("name", "NAME", "name of the back end in the configuration"),
     Flag::required("zone", "ZONE", "zone of this machine"),
-    Flag::required("listen", "IP:PORT", "address for routers, TCP"),
-    Flag::required("gossip", "IP:PORT", "address for gossip, UDP"),
-    Flag::required("operator", "IP:PORT", "address for operators, HTTP"),
+    Flag::required("listen", "IP:PORT", "TCP address for routers"),
+    Flag::required("gossip", "IP:PORT", "UDP address for gossip"),
+    Flag::required("operator", "IP:PORT", "HTTP address for operators"),
     Flag::required("backend", "IP:PORT", "address of the back end"),
     Flag::required("platform", "IP:PORT", "address of the platform"),
     Flag::with_default(
         "control-bytes",
         "NUMBER",
         "1750",
-        "bytes a second of control traffic, both ways",
+        "bytes per second of control traffic, sent and received together",
     ),
     Flag::switch("check", "validate the settings and exit"),
 ];
 
-/// What the agent is told at start.
+/// Validated settings of an agent process.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Name of the back end and its agent.
+    /// Name of the back end and of its agent.
     pub name: String,
     /// Zone of the machine.
     pub zone: String,
@@ -38,16 +38,16 @@
     pub backend: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Bytes a second of control traffic.
+    /// Budget of control traffic, in bytes per second.
     pub control_bytes: f64,
-    /// Whether to stop after validation.
+    /// Whether the process exits after validating the settings.
     pub check_only: bool,
 }
 
 impl AgentSettings {
-    /// Reads the settings; exits when they are bad.
+    /// Reads flags and environment variables; exits with code 2 if a setting is invalid.
     pub fn read() -> Self {
-        let summary = "The single gate in front of one back end.";
+        let summary = "Runs the gate in front of one back end.";
         let mut settings = read_or_exit("stacktack-agent", summary, FLAGS);
         let read = AgentSettings {
             name: settings.text("name"),
--- a/crates/stacktack-agent/src/shared.rs
+++ b/crates/stacktack-agent/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the two threads of an agent tell each other.
+//! Commands and state exchanged by the two threads of an agent.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -12,20 +12,21 @@
 use stacktack_wire::identity::NodeId;
 use tokio::sync::oneshot;
 
-/// From the control thread to the traffic thread.
+/// Commands from the control thread to the traffic thread.
 pub enum TrafficCommand {
-    /// A later configuration.
+    /// A newer configuration and the changes that led to it.
     Configuration(Arc<Configuration>, Vec<Change>),
-    /// Loads of other back ends and when they were true.
+    /// Loads of the other active back ends, each with the time at which it was true.
     PeerLoads(Vec<(NodeId, f64, Time)>),
-    /// Take no new work, or take it again.
+    /// Start draining (true) or stop draining (false).
     Drain(bool),
-    /// Close the routers' connections once all is sent, then answer.
+    /// Send all queued messages, close the routers' connections, then confirm.
     Close(oneshot::Sender<()>),
 }
 
-/// State of the traffic thread as of its last tick. Each field stands alone;
-/// none guards another.
+/// State published by the traffic thread: the counters as of its last tick, the
+/// other fields as of the last input of the gate. The fields are independent; a
+/// reader may see some of them newer than others.
 #[derive(Default)]
 pub struct TrafficState {
     load_bits: AtomicU64,
@@ -36,7 +37,7 @@
 }
 
 impl TrafficState {
-    /// Publishes the state.
+    /// Publishes load, attempts in flight, draining state and configuration version.
     pub fn publish(&self, load: f64, in_flight: usize, draining: bool, version: u64) {
         self.load_bits.store(load.to_bits(), Ordering::Relaxed);
         self.draining.store(draining, Ordering::Relaxed);
@@ -44,32 +45,32 @@
         self.in_flight.store(in_flight, Ordering::Release);
     }
 
-    /// Publishes the counts.
+    /// Publishes the counters.
     pub fn publish_counters(&self, counters: GateCounters) {
         self.counters.store(Arc::new(counters));
     }
 
-    /// Load divided by capacity.
+    /// Work units in flight divided by capacity.
     pub fn load(&self) -> f64 {
         f64::from_bits(self.load_bits.load(Ordering::Relaxed))
     }
 
-    /// Attempts that wait or run.
+    /// Number of attempts that are queued or running.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Whether no new work is taken.
+    /// Whether new attempts are refused.
     pub fn draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Configuration in force at the gate.
+    /// Version of the configuration that the gate uses; 0 before the first.
     pub fn version(&self) -> u64 {
         self.version.load(Ordering::Relaxed)
     }
 
-    /// Counts since start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> GateCounters {
         **self.counters.load()
     }
--- a/crates/stacktack-agent/src/traffic.rs
+++ b/crates/stacktack-agent/src/traffic.rs
@@ -1,4 +1,5 @@
-//! The traffic thread: routers' connections, the gate, calls to the back end.
+//! The traffic thread: drives the gate with routers' messages, events of the back
+//! end and a timer, and carries out its outputs.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,39 +19,39 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio_util::codec::Framed;
 
-use crate::backend::Backend;
+use crate::backend::BackendClient;
 use crate::shared::{TrafficCommand, TrafficState};
 
-/// Time between ticks of the gate.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between two ticks of the gate; also the pause after a failed accept.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 struct Connection {
     sender: UnboundedSender<ToRouter>,
     writer: JoinHandle<()>,
 }
 
-/// The traffic thread's state.
+/// Handle to the state of the traffic thread.
 #[derive(Clone)]
-pub struct Traffic {
+pub struct TrafficHandle {
     inner: Rc<Inner>,
 }
 
 struct Inner {
     gate: RefCell<Gate>,
     clock: ProcessClock,
-    backend: Backend,
+    backend: BackendClient,
     connections: RefCell<HashMap<ConnectionId, Connection>>,
     running: RefCell<HashMap<AttemptId, JoinHandle<()>>>,
     next_connection: RefCell<u64>,
     state: Arc<TrafficState>,
 }
 
-impl Traffic {
+impl TrafficHandle {
     /// Starts the traffic tasks on the current thread.
     pub fn start(
         gate: Gate,
         clock: ProcessClock,
-        backend: Backend,
+        backend: BackendClient,
         listener: std::net::TcpListener,
         commands: UnboundedReceiver<TrafficCommand>,
         state: Arc<TrafficState>,
@@ -65,9 +66,9 @@
             next_connection: RefCell::new(0),
             state,
         });
-        let traffic = Traffic { inner };
+        let traffic = TrafficHandle { inner };
         actix_rt::spawn(traffic.clone().accept(listener));
-        actix_rt::spawn(traffic.clone().obey(commands));
+        actix_rt::spawn(traffic.clone().handle_commands(commands));
         actix_rt::spawn(traffic.tick());
         Ok(())
     }
@@ -101,7 +102,7 @@
                     .get(&connection)
                     .map(|connection| connection.sender.send(message));
                 if !matches!(sent, Some(Ok(()))) {
-                    log::debug!(target: "traffic", "a message found no connection {}", connection.0);
+                    log::debug!(target: "traffic", "a message was dropped: no connection {}", connection.0);
                 }
             }
             GateOutput::StartBackend { attempt, offer } => self.start_backend(attempt, offer),
@@ -115,18 +116,18 @@
         let traffic = self.clone();
         let task = actix_rt::spawn(async move {
             let backend = traffic.inner.backend.clone();
-            let report = |event| traffic.report(attempt, event);
+            let report = |event| traffic.on_backend_event(attempt, event);
             backend.run(attempt, &offer, report).await;
         });
         self.inner.running.borrow_mut().insert(attempt, task);
     }
 
     fn resume_backend(&self, attempt: AttemptId, offset: u64) {
-        log::info!(target: "traffic", "attempt {attempt} is resumed from piece {offset}");
+        log::info!(target: "traffic", "attempt {attempt} resumes from piece {offset}");
         let traffic = self.clone();
         let task = actix_rt::spawn(async move {
             let backend = traffic.inner.backend.clone();
-            let report = |event| traffic.report(attempt, event);
+            let report = |event| traffic.on_backend_event(attempt, event);
             backend.resume(attempt, offset, report).await;
         });
         self.inner.running.borrow_mut().insert(attempt, task);
@@ -141,7 +142,7 @@
         actix_rt::spawn(async move { backend.cancel(attempt).await });
     }
 
-    fn report(&self, attempt: AttemptId, event: BackendEvent) {
+    fn on_backend_event(&self, attempt: AttemptId, event: BackendEvent) {
         let ended = !matches!(event, BackendEvent::Head(_) | BackendEvent::Pieces { .. });
         if ended {
             self.inner.running.borrow_mut().remove(&attempt);
@@ -154,18 +155,18 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     if stream.set_nodelay(true).is_ok() {
-                        self.clone().open(stream);
+                        self.clone().serve_connection(stream);
                     }
                 }
                 Err(error) => {
-                    log::error!(target: "traffic", "a router's connection was not accepted: {error}");
-                    actix_rt::time::sleep(TICK).await;
+                    log::error!(target: "traffic", "accepting a router's connection failed: {error}");
+                    actix_rt::time::sleep(TICK_INTERVAL).await;
                 }
             }
         }
     }
 
-    fn open(self, stream: TcpStream) {
+    fn serve_connection(self, stream: TcpStream) {
         let id = {
             let mut next = self.inner.next_connection.borrow_mut();
             *next += 1;
@@ -175,7 +176,7 @@
         let (mut sink, mut source) = framed.split();
         let (sender, mut messages) = unbounded_channel::<ToRouter>();
         let hello = self.inner.gate.borrow().hello();
-        let greeted = sender.send(hello).is_ok();
+        let hello_queued = sender.send(hello).is_ok();
         let writer = actix_rt::spawn(async move {
             while let Some(message) = messages.recv().await {
                 if sink.feed(message).await.is_err() {
@@ -191,10 +192,10 @@
                 }
             }
             if sink.close().await.is_err() {
-                log::debug!(target: "traffic", "a connection did not close cleanly");
+                log::debug!(target: "traffic", "closing a router's connection failed");
             }
         });
-        if !greeted {
+        if !hello_queued {
             return;
         }
         let connection = Connection { sender, writer };
@@ -207,7 +208,7 @@
                         message,
                     }),
                     Err(error) => {
-                        log::warn!(target: "traffic", "a router's connection broke: {error}");
+                        log::warn!(target: "traffic", "a router's connection failed: {error}");
                         break;
                     }
                 }
@@ -217,7 +218,7 @@
         });
     }
 
-    async fn obey(self, mut commands: UnboundedReceiver<TrafficCommand>) {
+    async fn handle_commands(self, mut commands: UnboundedReceiver<TrafficCommand>) {
         while let Some(command) = commands.recv().await {
             match command {
                 TrafficCommand::Configuration(configuration, changes) => {
@@ -229,31 +230,34 @@
                 TrafficCommand::PeerLoads(loads) => self.handle(GateInput::PeerLoads(loads)),
                 TrafficCommand::Drain(draining) => self.handle(GateInput::Drain(draining)),
                 TrafficCommand::Close(done) => {
-                    self.close().await;
+                    self.close_connections().await;
                     if done.send(()).is_err() {
-                        log::debug!(target: "traffic", "nobody waits for the close");
+                        log::debug!(target: "traffic", "the receiver of the close confirmation was dropped");
                     }
                 }
             }
         }
     }
 
-    /// Sends what is still to be sent and closes the routers' connections.
-    async fn close(&self) {
+    /// Sends all queued messages and closes the routers' connections.
+    async fn close_connections(&self) {
         let connections: Vec<Connection> = {
-            let mut held = self.inner.connections.borrow_mut();
-            held.drain().map(|(_, connection)| connection).collect()
+            let mut connections = self.inner.connections.borrow_mut();
+            connections
+                .drain()
+                .map(|(_, connection)| connection)
+                .collect()
         };
         for connection in connections {
             drop(connection.sender);
             if connection.writer.await.is_err() {
-                log::debug!(target: "traffic", "a writer ended early");
+                log::debug!(target: "traffic", "the writer of a router's connection was aborted or panicked");
             }
         }
     }
 
     async fn tick(self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
             self.handle(GateInput::Tick);
--- a/crates/stacktack-agent/tests/settings.rs
+++ b/crates/stacktack-agent/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `stacktack-agent`: faults are reported together, with exit code 2.
+//! Settings of `stacktack-agent`: invalid settings are reported together, with exit code 2.
 
 use std::process::{Command, Output};
 
--- a/crates/stacktack-router/src/app.rs
+++ b/crates/stacktack-router/src/app.rs
@@ -1,4 +1,4 @@
-//! The router's process: start, signals, stop.
+//! The router process: start-up, signals, graceful shutdown.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -28,33 +28,34 @@
 use thiserror::Error;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-use crate::operator::{register_metrics, Operator};
+use crate::operator::{register_metrics, OperatorEndpoint};
 use crate::settings::RouterSettings;
-use crate::shared::{ControlCommand, Shared};
-use crate::traffic::Traffic;
+use crate::shared::{ControlCommand, SharedState};
+use crate::traffic::TrafficHandle;
 
-/// Time between looks at open callers while stopping.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Time between two checks for open callers during shutdown.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Seconds for connections to flush once every answer is whole.
-const FLUSH_SECONDS: u64 = 2;
+/// Timeout, in seconds, for callers' connections to flush and close after all
+/// responses are complete.
+const FLUSH_TIMEOUT_SECONDS: u64 = 2;
 
-/// Time for a caller to send its request head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time within which a caller must send its request head.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a router stopped early.
+/// Errors that end a router process.
 #[derive(Debug, Error)]
 pub enum RouterError {
-    /// An address cannot be listened on.
+    /// A listening address is not available.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// Sockets or signals failed.
-    #[error("input or output failed: {0}")]
+    /// A socket or signal operation failed.
+    #[error("I/O error: {0}")]
     Io(#[from] std::io::Error),
-    /// A state chart is not usable.
-    #[error("state chart: {0}")]
+    /// A state chart is invalid.
+    #[error("invalid state chart: {0}")]
     Chart(#[from] ChartError),
-    /// Metrics could not be set up.
+    /// Metrics could not be initialized.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
@@ -84,12 +85,12 @@
     let operator_listener = listen("operator", settings.operator)?;
     let socket = listen_datagrams("gossip", settings.gossip)?;
     let (commands, receiver) = unbounded_channel();
-    let shared = Arc::new(Shared::new(settings.name.clone(), clock, commands));
+    let shared = Arc::new(SharedState::new(settings.name.clone(), clock, commands));
     let metrics = Metrics::new()?;
     register_metrics(&metrics.meter(), &shared);
     let control = start_control(&settings, clock, incarnation, socket, &shared)?;
-    actix_rt::spawn(obey(control.clone(), receiver));
-    let operator = Rc::new(Operator {
+    actix_rt::spawn(handle_commands(control.clone(), receiver));
+    let operator = Rc::new(OperatorEndpoint {
         zone: settings.zone.clone(),
         shared: shared.clone(),
         control,
@@ -97,23 +98,24 @@
     });
     actix_rt::spawn(async move {
         let served = serve(operator_listener, move |request| {
-            operator.clone().answer(request)
+            operator.clone().respond(request)
         });
         if let Err(error) = served.await {
-            log::error!(target: "operator", "the operators' address failed: {error}");
+            log::error!(target: "operator", "the operator endpoint failed: {error}");
         }
     });
     let server = start_traffic(&settings, &shared, listener)?;
-    log::info!(target: "router", "{} takes callers on {}", settings.name, settings.listen);
+    log::info!(target: "router", "{} accepts callers on {}", settings.name, settings.listen);
     stop_signals.wait().await;
     stop(&shared, &server).await;
     Ok(())
 }
 
-/// Starts the traffic threads; each makes its own state when it begins.
+/// Starts the traffic threads. Each creates its own dispatcher when it starts;
+/// the one created here only reports an invalid state chart before that.
 fn start_traffic(
     settings: &RouterSettings,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     listener: std::net::TcpListener,
 ) -> Result<ServerHandle, RouterError> {
     Dispatcher::new(settings.policy, Protections::default(), 0)?;
@@ -122,17 +124,17 @@
     let server = Server::build()
         .workers(settings.threads)
         .disable_signals()
-        .shutdown_timeout(FLUSH_SECONDS)
+        .shutdown_timeout(FLUSH_TIMEOUT_SECONDS)
         .listen("callers", listener, move || {
             let seed = rand::rng().next_u64();
             let traffic = start_worker(&worker_settings, shared.clone(), seed);
             HttpService::build()
                 .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
-                .client_request_timeout(HEAD_TIMEOUT)
-                .on_connect_ext(|stream: &TcpStream, _| disable_write_delay(stream))
+                .client_request_timeout(REQUEST_HEAD_TIMEOUT)
+                .on_connect_ext(|stream: &TcpStream, _| disable_nagle(stream))
                 .h1(move |request| {
                     let traffic = traffic.clone();
-                    async move { Ok::<_, Infallible>(traffic.answer(request).await) }
+                    async move { Ok::<_, Infallible>(traffic.respond(request).await) }
                 })
                 .tcp()
         })?
@@ -140,23 +142,23 @@
     let handle = server.handle();
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::error!(target: "router", "the callers' address failed: {error}");
+            log::error!(target: "router", "the listener for callers failed: {error}");
         }
     });
     Ok(handle)
 }
 
-/// Small pieces of a stream go out at once, not when the one before them was
-/// acknowledged.
-fn disable_write_delay(stream: &TcpStream) {
+/// Disables Nagle's algorithm, so that a small piece of a stream is sent at once
+/// and doesn't wait until the previous one was acknowledged.
+fn disable_nagle(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::warn!(target: "router", "a caller's connection keeps its write delay: {error}");
+        log::warn!(target: "router", "TCP_NODELAY could not be set on a caller's connection: {error}");
     }
 }
 
-fn start_worker(settings: &RouterSettings, shared: Arc<Shared>, seed: u64) -> Traffic {
+fn start_worker(settings: &RouterSettings, shared: Arc<SharedState>, seed: u64) -> TrafficHandle {
     match Dispatcher::new(settings.policy, Protections::default(), seed) {
-        Ok(dispatcher) => Traffic::start(settings, shared, dispatcher, seed),
+        Ok(dispatcher) => TrafficHandle::start(settings, shared, dispatcher, seed),
         Err(error) => {
             log::error!(target: "router", "a traffic thread did not start: {error}");
             std::process::exit(EXIT_FAILURE);
@@ -169,7 +171,7 @@
     clock: ProcessClock,
     incarnation: Incarnation,
     socket: std::net::UdpSocket,
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
 ) -> Result<ControlHandle, RouterError> {
     let machine = Machine {
         name: settings.name.clone(),
@@ -197,18 +199,18 @@
     )?)
 }
 
-async fn obey(control: ControlHandle, mut commands: UnboundedReceiver<ControlCommand>) {
+async fn handle_commands(control: ControlHandle, mut commands: UnboundedReceiver<ControlCommand>) {
     while let Some(command) = commands.recv().await {
         control.handle(match command {
             ControlCommand::Changes(changes) => ControlInput::Changes(changes),
-            ControlCommand::WantConfiguration => ControlInput::ConfigurationStale,
+            ControlCommand::ConfigurationStale => ControlInput::ConfigurationStale,
         });
     }
 }
 
-/// Makes a view of what the control thread learns.
+/// Builds router views from the control state and publishes them to the traffic threads.
 struct Observer {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
 impl ControlObserver for Observer {
@@ -236,13 +238,14 @@
     }
 }
 
-/// Refuses new requests, waits for the answers under way, flushes.
-async fn stop(shared: &Shared, server: &ServerHandle) {
-    log::info!(target: "router", "stopping: no new requests are taken");
+/// Refuses new requests, waits until no caller waits for a response, then flushes
+/// and closes the callers' connections.
+async fn stop(shared: &SharedState, server: &ServerHandle) {
+    log::info!(target: "router", "stopping: new requests are refused");
     shared.stop();
     while shared.open_callers() > 0 {
-        actix_rt::time::sleep(STOP_POLL).await;
+        actix_rt::time::sleep(STOP_POLL_INTERVAL).await;
     }
     server.stop(true).await;
-    log::info!(target: "router", "stopped: nothing is in flight");
+    log::info!(target: "router", "stopped: no requests are in flight");
 }
--- a/crates/stacktack-router/src/caller.rs
+++ b/crates/stacktack-router/src/caller.rs
@@ -1,4 +1,4 @@
-//! The channel between a request and the caller that waits for its answer.
+//! The response path from the dispatcher to a caller.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,74 +11,75 @@
 use stacktack_wire::identity::{NodeId, RequestId};
 use tokio::sync::oneshot;
 
-use crate::shared::Shared;
-use crate::traffic::Traffic;
+use crate::shared::SharedState;
+use crate::traffic::TrafficHandle;
 
-/// Bytes that may wait for a slow caller before its request is cancelled.
-const MAXIMUM_WAITING: usize = 4 * 1024 * 1024;
+/// Bytes that may be buffered for a slow caller; above that its request is cancelled.
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
 
-/// First part of an answer.
+/// Start of a response, sent before any body bytes.
 #[derive(Debug)]
-pub enum AnswerStart {
+pub enum ResponseStart {
     /// Status and content type; the body follows.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: String,
-        /// Back end that answers.
+        /// Agent of the back end that responds.
         agent: NodeId,
     },
-    /// A problem instead of an answer.
+    /// A problem in place of the back end's response.
     Problem(Problem),
 }
 
-/// The dispatcher's side of the channel.
+/// Sends one response to its caller, on behalf of the dispatcher.
 pub struct CallerSender {
-    start: Option<oneshot::Sender<AnswerStart>>,
+    start: Option<oneshot::Sender<ResponseStart>>,
     parts: BodySender,
-    event_stream: bool,
+    is_event_stream: bool,
 }
 
 impl CallerSender {
-    /// The sending side for a caller.
-    pub fn new(start: oneshot::Sender<AnswerStart>, parts: BodySender) -> Self {
+    /// Creates a sender whose head goes to `start` and whose body goes to `parts`.
+    pub fn new(start: oneshot::Sender<ResponseStart>, parts: BodySender) -> Self {
         CallerSender {
             start: Some(start),
             parts,
-            event_stream: false,
+            is_event_stream: false,
         }
     }
 
-    /// Sends the head or the problem.
-    pub fn start(&mut self, start: AnswerStart) {
-        if let AnswerStart::Head { content_type, .. } = &start {
-            self.event_stream = content_type.starts_with("text/event-stream");
+    /// Sends the head or the problem; only the first call sends anything.
+    pub fn start(&mut self, start: ResponseStart) {
+        if let ResponseStart::Head { content_type, .. } = &start {
+            self.is_event_stream = content_type.starts_with("text/event-stream");
         }
         if let Some(sender) = self.start.take() {
             if sender.send(start).is_err() {
-                log::debug!(target: "caller", "a caller left before its answer began");
+                log::debug!(target: "caller", "a caller disconnected before its response started");
             }
         }
     }
 
-    /// Sends part of the body; false when the caller is gone or too slow.
-    pub fn body(&mut self, bytes: Bytes) -> bool {
-        let in_time = self.parts.waiting() <= MAXIMUM_WAITING;
-        in_time && self.parts.send(bytes).is_ok()
+    /// Sends part of the body. Returns false if the caller disconnected or more
+    /// than `MAX_BUFFERED_BYTES` already wait to be sent.
+    pub fn send_body(&mut self, bytes: Bytes) -> bool {
+        let within_limit = self.parts.waiting() <= MAX_BUFFERED_BYTES;
+        within_limit && self.parts.send(bytes).is_ok()
     }
 
-    /// Ends the body.
+    /// Marks the body as complete.
     pub fn end(self) {
         if self.parts.end().is_err() {
-            log::debug!(target: "caller", "a caller left before its answer ended");
+            log::debug!(target: "caller", "a caller disconnected before its response ended");
         }
     }
 
-    /// Ends a body that is not whole: an event stream with an error event, any
-    /// other body by breaking the connection.
-    pub fn cut(self, problem: &Problem) {
-        if !self.event_stream {
+    /// Ends an incomplete body: an event stream with an error event, any other
+    /// body by closing the connection.
+    pub fn abort(self, problem: &Problem) {
+        if !self.is_event_stream {
             return;
         }
         let body = serde_json::to_string(problem).unwrap_or_default();
@@ -89,17 +90,18 @@
     }
 }
 
-/// Cancels the request when the caller goes away.
+/// Counts a caller as open until dropped, and cancels its request if it is still
+/// in progress then.
 pub struct CallerGuard {
-    traffic: Traffic,
-    shared: Arc<Shared>,
+    traffic: TrafficHandle,
+    shared: Arc<SharedState>,
     request: RequestId,
 }
 
 impl CallerGuard {
-    /// A guard for a request.
-    pub fn new(traffic: Traffic, shared: Arc<Shared>, request: RequestId) -> Self {
-        shared.open_caller();
+    /// Counts the caller of the request as open.
+    pub fn new(traffic: TrafficHandle, shared: Arc<SharedState>, request: RequestId) -> Self {
+        shared.add_open_caller();
         CallerGuard {
             traffic,
             shared,
@@ -110,27 +112,28 @@
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.shared.close_caller();
-        self.traffic.caller_left(self.request);
+        self.shared.remove_open_caller();
+        self.traffic.on_caller_left(self.request);
     }
 }
 
-/// The reply to a caller, with its body still to come.
-pub fn reply(
+/// Builds the HTTP response to a caller; a body that is not a problem is streamed
+/// from `parts`.
+pub fn build_response(
     name: &str,
     request: RequestId,
-    start: AnswerStart,
+    start: ResponseStart,
     parts: BodySource,
     guard: CallerGuard,
 ) -> Response<BoxBody> {
     let decision = format!("{name}.{request}");
     match start {
-        AnswerStart::Problem(problem) => {
-            let mut reply = problem_reply(&problem);
-            add_identity(&mut reply, request, &decision);
-            reply
+        ResponseStart::Problem(problem) => {
+            let mut response = problem_reply(&problem);
+            add_request_headers(&mut response, request, &decision);
+            response
         }
-        AnswerStart::Head {
+        ResponseStart::Head {
             status,
             content_type,
             agent,
@@ -149,7 +152,7 @@
     }
 }
 
-fn add_identity(reply: &mut Response<BoxBody>, request: RequestId, decision: &str) {
+fn add_request_headers(response: &mut Response<BoxBody>, request: RequestId, decision: &str) {
     use actix_http::header::{HeaderName, HeaderValue};
     let entries = [
         ("stacktack-request", request.to_string()),
@@ -157,7 +160,7 @@
     ];
     for (name, value) in entries {
         if let Ok(value) = HeaderValue::from_str(&value) {
-            reply
+            response
                 .headers_mut()
                 .insert(HeaderName::from_static(name), value);
         }
--- a/crates/stacktack-router/src/links.rs
+++ b/crates/stacktack-router/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections of a traffic thread to agents.
+//! Connections from a traffic thread to agents.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,36 +18,37 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio_util::codec::Framed;
 
-use crate::traffic::Traffic;
+use crate::traffic::TrafficHandle;
 
-/// Time for a connection to come up, hello included.
+/// Time limit for connecting to an agent, including the exchange of hello messages.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Frames between this router and one agent.
+/// Framed connection between this router and one agent.
 type Channel = Framed<TcpStream, MessageCodec<ToRouter, ToAgent>>;
 
-/// Why a connection did not come up.
+/// Errors of connecting to an agent.
 #[derive(Debug, Error)]
-enum LinkError {
-    #[error("connecting failed: {0}")]
+enum ConnectError {
+    #[error("failed to connect: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("the hello failed: {0}")]
+    #[error("exchange of hello messages failed: {0}")]
     Codec(#[from] CodecError),
-    #[error("no hello came")]
+    #[error("no hello message received")]
     NoHello,
-    #[error("another agent answered")]
+    #[error("a different agent responded")]
     WrongAgent,
-    #[error("it took too long")]
+    #[error("timed out")]
     Timeout,
 }
 
 struct Link {
+    /// Distinguishes this connection from earlier ones to the same agent.
     generation: u64,
     sender: UnboundedSender<ToAgent>,
     task: JoinHandle<()>,
 }
 
-/// Connections by agent.
+/// The current connection of a traffic thread to each agent.
 #[derive(Clone, Default)]
 pub struct Links {
     links: Rc<RefCell<HashMap<NodeId, Link>>>,
@@ -55,10 +56,11 @@
 }
 
 impl Links {
-    /// Connects to an agent and reports to the traffic thread how that went.
+    /// Connects to an agent in the background and reports the result, and a later
+    /// loss of the connection, to the dispatcher.
     pub fn connect(
         &self,
-        traffic: Traffic,
+        traffic: TrafficHandle,
         agent: NodeId,
         address: SocketAddr,
         router: NodeId,
@@ -73,16 +75,16 @@
         let links = self.clone();
         let task = actix_rt::spawn(async move {
             let hello = ToAgent::Hello { router, version };
-            let opened = timeout(CONNECT_TIMEOUT, open(agent, address, hello)).await;
-            match opened.unwrap_or(Err(LinkError::Timeout)) {
+            let opened = timeout(CONNECT_TIMEOUT, open_channel(agent, address, hello)).await;
+            match opened.unwrap_or(Err(ConnectError::Timeout)) {
                 Ok((channel, incarnation)) => {
                     traffic.handle(DispatchInput::Connected { agent, incarnation });
-                    run(&traffic, agent, channel, messages).await;
+                    relay_messages(&traffic, agent, channel, messages).await;
                     links.report_loss(&traffic, agent, generation);
                 }
                 Err(error) => {
                     log::debug!(target: "links", "agent {agent} at {address}: {error}");
-                    links.forget(agent, generation);
+                    links.remove_if_current(agent, generation);
                     traffic.handle(DispatchInput::ConnectFailed(agent));
                 }
             }
@@ -95,23 +97,25 @@
         self.links.borrow_mut().insert(agent, link);
     }
 
-    /// Sends a message if there is a connection.
+    /// Queues a message for an agent; drops the message if there is no connection.
     pub fn send(&self, agent: NodeId, message: ToAgent) {
         let links = self.links.borrow();
         let sent = links.get(&agent).map(|link| link.sender.send(message));
         if !matches!(sent, Some(Ok(()))) {
-            log::debug!(target: "links", "a message to agent {agent} found no connection");
+            log::debug!(target: "links", "a message to agent {agent} was dropped: no connection");
         }
     }
 
-    /// Closes a connection without a report.
+    /// Closes a connection without reporting its loss.
     pub fn disconnect(&self, agent: NodeId) {
         if let Some(link) = self.links.borrow_mut().remove(&agent) {
             link.task.abort();
         }
     }
 
-    fn forget(&self, agent: NodeId, generation: u64) -> bool {
+    /// Removes the connection if it still is that of `generation`; returns whether
+    /// it was.
+    fn remove_if_current(&self, agent: NodeId, generation: u64) -> bool {
         let mut links = self.links.borrow_mut();
         let current = links
             .get(&agent)
@@ -122,37 +126,37 @@
         current
     }
 
-    fn report_loss(&self, traffic: &Traffic, agent: NodeId, generation: u64) {
-        if self.forget(agent, generation) {
-            log::info!(target: "links", "the connection to agent {agent} is gone");
+    fn report_loss(&self, traffic: &TrafficHandle, agent: NodeId, generation: u64) {
+        if self.remove_if_current(agent, generation) {
+            log::info!(target: "links", "the connection to agent {agent} was lost");
             traffic.handle(DispatchInput::ConnectionLost(agent));
         }
     }
 }
 
-async fn open(
+async fn open_channel(
     agent: NodeId,
     address: SocketAddr,
     hello: ToAgent,
-) -> Result<(Channel, Incarnation), LinkError> {
+) -> Result<(Channel, Incarnation), ConnectError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut channel = Framed::new(stream, MessageCodec::new());
     channel.send(hello).await?;
     match channel.next().await {
         Some(Ok(ToRouter::Hello {
-            agent: answered,
+            agent: responder,
             incarnation,
-        })) if answered == agent => Ok((channel, incarnation)),
-        Some(Ok(ToRouter::Hello { .. })) => Err(LinkError::WrongAgent),
-        Some(Ok(_)) | None => Err(LinkError::NoHello),
+        })) if responder == agent => Ok((channel, incarnation)),
+        Some(Ok(ToRouter::Hello { .. })) => Err(ConnectError::WrongAgent),
+        Some(Ok(_)) | None => Err(ConnectError::NoHello),
         Some(Err(error)) => Err(error.into()),
     }
 }
 
-/// Passes messages both ways until the connection ends.
-async fn run(
-    traffic: &Traffic,
+/// Forwards messages in both directions until the connection ends.
+async fn relay_messages(
+    traffic: &TrafficHandle,
     agent: NodeId,
     channel: Channel,
     mut messages: UnboundedReceiver<ToAgent>,
--- a/crates/stacktack-router/src/operator.rs
+++ b/crates/stacktack-router/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' address of a router.
+//! The operator endpoint of a router: health, status, metrics, configuration and
+//! decision records over HTTP.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,12 +19,12 @@
 use stacktack_wire::identity::RequestId;
 use tokio::sync::oneshot;
 
-use crate::shared::{Shared, WorkerCommand};
+use crate::shared::{SharedState, WorkerCommand};
 
-/// Prefix of the path of a decision's record.
-const DECISION_PREFIX: &str = "/decisions/";
+/// Path prefix of decision records; the request id follows.
+const DECISION_PATH_PREFIX: &str = "/decisions/";
 
-/// What a router says of itself.
+/// Response body of `GET /status`.
 #[derive(Debug, Serialize)]
 struct Status {
     name: String,
@@ -43,7 +44,7 @@
     retries: u64,
 }
 
-/// An agent as the router sees it.
+/// An agent as this router sees it.
 #[derive(Debug, Serialize)]
 struct AgentStatus {
     name: String,
@@ -52,22 +53,22 @@
     load: Option<f64>,
 }
 
-/// Answers operators' calls.
-pub struct Operator {
-    /// The router's zone.
+/// Handles operators' HTTP requests.
+pub struct OperatorEndpoint {
+    /// Zone of the router.
     pub zone: String,
     /// State shared with the traffic threads.
-    pub shared: Arc<Shared>,
-    /// The control state.
+    pub shared: Arc<SharedState>,
+    /// Handle to the control state.
     pub control: ControlHandle,
-    /// Metrics.
+    /// Metrics rendered at `/metrics`.
     pub metrics: Metrics,
 }
 
-impl Operator {
-    /// Answers one call.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response<BoxBody> {
-        if let Some(id) = request.path().strip_prefix(DECISION_PREFIX) {
+impl OperatorEndpoint {
+    /// Responds to one operator request.
+    pub async fn respond(self: Rc<Self>, request: Request) -> Response<BoxBody> {
+        if let Some(id) = request.path().strip_prefix(DECISION_PATH_PREFIX) {
             return self.explain(id).await;
         }
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
@@ -157,11 +158,12 @@
     }
 }
 
-type Count = fn(&DispatchCounters) -> u64;
+/// Selects the value of one metric.
+type CounterReader = fn(&DispatchCounters) -> u64;
 
-/// Instruments read from the traffic threads' counts.
-pub fn register_metrics(meter: &Meter, shared: &Arc<Shared>) {
-    let counters: [(&'static str, &'static str, Count); 8] = [
+/// Registers the router's metrics, which read the counters that the traffic threads publish.
+pub fn register_metrics(meter: &Meter, shared: &Arc<SharedState>) {
+    let counters: [(&'static str, &'static str, CounterReader); 8] = [
         ("router_requests", "requests taken in", |c| c.requests),
         (
             "router_requests_answered",
--- a/crates/stacktack-router/src/entry.rs
+++ b/crates/stacktack-router/src/request.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: headers, bodies, tenants, targets.
+//! Reads and validates callers' requests: tenant, headers, target and body.
 
 use actix_http::header::{HeaderMap, AUTHORIZATION, CONTENT_TYPE};
 use actix_http::{HttpMessage, Method, Request as HttpRequest};
@@ -15,23 +15,23 @@
 use stacktack_wire::identity::{ChatId, NodeId, RequestId, TenantId};
 use stacktack_wire::message::{Payload, Priority};
 
-/// Path of the chat completion call.
+/// Path of chat completions.
 const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Prefix of the plain services' paths.
-const SERVICE_PREFIX: &str = "/services/";
+/// Path prefix of the plain services; the name of the service follows.
+const SERVICE_PATH_PREFIX: &str = "/services/";
 
-/// Longest value of a header that the router reads, in bytes.
-const MAXIMUM_HEADER: usize = 256;
+/// Maximum length of the value of a Stacktack or idempotency header.
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
-/// Largest answer that a caller may ask for, in tokens.
-const MAXIMUM_DECODE_TOKENS: u32 = 1_000_000;
+/// Maximum number of tokens that a caller may ask to be generated.
+const MAX_DECODE_TOKENS: u32 = 1_000_000;
 
-/// The parts of a chat completion body that the router reads.
+/// The fields of a chat completion body that the router reads.
 #[derive(Deserialize)]
 struct ChatBody {
     model: String,
-    #[allow(dead_code, reason = "parsed to check that it is a list")]
+    #[allow(dead_code, reason = "parsed to validate that it is a list")]
     messages: Vec<IgnoredAny>,
     #[serde(default)]
     stream: bool,
@@ -39,8 +39,8 @@
     max_tokens: Option<u32>,
 }
 
-/// What the headers say.
-struct Envelope {
+/// Values of the optional request headers.
+struct RequestHeaders {
     chat: Option<String>,
     priority: Priority,
     deadline_ms: Option<u32>,
@@ -48,7 +48,8 @@
     preferred: Option<NodeId>,
 }
 
-/// Reads a caller's request, or says what is wrong with it.
+/// Reads a caller's request; returns a problem, with outcome "not run", if it is
+/// invalid.
 pub async fn read_request(
     id: RequestId,
     mut http: HttpRequest,
@@ -60,37 +61,37 @@
             Kind::NotReady.problem(Outcome::NotRun, "this router has no configuration yet");
         return Err(problem.retry_after(500));
     }
-    let tenant = tenant_of(http.headers(), configuration)?.clone();
-    let envelope = read_envelope(http.headers())?;
+    let tenant = authenticate_tenant(http.headers(), configuration)?.clone();
+    let headers = read_headers(http.headers())?;
     let path = http.path().to_string();
     let is_chat = path == CHAT_PATH;
     if is_chat {
         check_chat_call(&http)?;
-    } else if !path.starts_with(SERVICE_PREFIX) {
+    } else if !path.starts_with(SERVICE_PATH_PREFIX) {
         return Err(Kind::UnknownPath.problem(Outcome::NotRun, path));
     }
     let limit = configuration.document.limits.body_bytes;
     let body = read_body(&mut http, limit, body_timeout)
         .await
         .map_err(|error| error.problem())?;
-    let chat = envelope
+    let chat = headers
         .chat
         .as_ref()
         .map(|chat| ChatId::of(&format!("{}/{chat}", tenant.name)));
     let call = if is_chat {
-        chat_call(configuration, body)?
+        parse_chat_call(configuration, body)?
     } else {
-        service_call(configuration, &http, &path, &envelope, body)?
+        parse_service_call(configuration, &http, &path, &headers, body)?
     };
     Ok(Request {
         id,
         tenant: TenantId::of(&tenant.name),
         chat,
-        priority: envelope.priority,
-        deadline_ms: envelope.deadline_ms,
-        repeatable: call.repeatable && envelope.idempotency_key.is_none(),
-        idempotency_key: envelope.idempotency_key,
-        preferred: envelope.preferred,
+        priority: headers.priority,
+        deadline_ms: headers.deadline_ms,
+        repeatable: call.repeatable && headers.idempotency_key.is_none(),
+        idempotency_key: headers.idempotency_key,
+        preferred: headers.preferred,
         target: call.target,
         prompt_tokens: call.prompt_tokens,
         decode_tokens: call.decode_tokens,
@@ -98,7 +99,8 @@
     })
 }
 
-struct Call {
+/// The parts of a request that depend on the kind of its target.
+struct ParsedCall {
     target: Target,
     payload: Payload,
     prompt_tokens: u32,
@@ -106,7 +108,7 @@
     repeatable: bool,
 }
 
-fn tenant_of<'a>(
+fn authenticate_tenant<'a>(
     headers: &HeaderMap,
     configuration: &'a Configuration,
 ) -> Result<&'a Tenant, Problem> {
@@ -120,57 +122,58 @@
     configuration.tenant_of_key(key).ok_or_else(unknown)
 }
 
-fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+fn header_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value
         .to_str()
         .ok()
-        .filter(|text| text.len() <= MAXIMUM_HEADER);
+        .filter(|text| text.len() <= MAX_HEADER_VALUE_BYTES);
     match text {
         Some(text) if !text.is_empty() => Ok(Some(text)),
         _ => {
-            let detail = format!("{name}: allowed is 1 to {MAXIMUM_HEADER} visible characters");
+            let detail =
+                format!("{name}: allowed is 1 to {MAX_HEADER_VALUE_BYTES} visible characters");
             Err(Kind::MalformedHeader.problem(Outcome::NotRun, detail))
         }
     }
 }
 
-fn malformed(name: &str, value: &str, allowed: &str) -> Problem {
+fn malformed_header(name: &str, value: &str, allowed: &str) -> Problem {
     let detail = format!("{name}: {value} is not allowed; {allowed}");
     Kind::MalformedHeader.problem(Outcome::NotRun, detail)
 }
 
-fn read_envelope(headers: &HeaderMap) -> Result<Envelope, Problem> {
-    let priority = match header(headers, "stacktack-priority")? {
+fn read_headers(headers: &HeaderMap) -> Result<RequestHeaders, Problem> {
+    let priority = match header_value(headers, "stacktack-priority")? {
         None | Some("normal") => Priority::Normal,
         Some("low") => Priority::Low,
         Some("high") => Priority::High,
         Some(other) => {
-            return Err(malformed(
+            return Err(malformed_header(
                 "Stacktack-Priority",
                 other,
                 "allowed is low, normal, high",
             ));
         }
     };
-    let deadline_ms = match header(headers, "stacktack-deadline-ms")? {
+    let deadline_ms = match header_value(headers, "stacktack-deadline-ms")? {
         None => None,
         Some(text) => match text.parse::<u32>() {
             Ok(value) if value > 0 => Some(value),
             _ => {
                 let allowed = "allowed is a number of milliseconds from 1 to 4294967295";
-                return Err(malformed("Stacktack-Deadline-Ms", text, allowed));
+                return Err(malformed_header("Stacktack-Deadline-Ms", text, allowed));
             }
         },
     };
-    let placement = header(headers, "stacktack-placement")?;
-    Ok(Envelope {
-        chat: header(headers, "stacktack-chat")?.map(String::from),
+    let placement = header_value(headers, "stacktack-placement")?;
+    Ok(RequestHeaders {
+        chat: header_value(headers, "stacktack-chat")?.map(String::from),
         priority,
         deadline_ms,
-        idempotency_key: header(headers, "idempotency-key")?.map(String::from),
+        idempotency_key: header_value(headers, "idempotency-key")?.map(String::from),
         preferred: placement
             .and_then(|text| u32::from_str_radix(text, 16).ok())
             .map(NodeId),
@@ -195,7 +198,7 @@
     Ok(())
 }
 
-fn chat_call(configuration: &Configuration, body: Bytes) -> Result<Call, Problem> {
+fn parse_chat_call(configuration: &Configuration, body: Bytes) -> Result<ParsedCall, Problem> {
     let parsed: ChatBody = serde_json::from_slice(&body)
         .map_err(|error| Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))?;
     if configuration.model_labels(&parsed.model).is_none() {
@@ -203,13 +206,13 @@
         return Err(Kind::UnknownModel.problem(Outcome::NotRun, detail));
     }
     let decode_tokens = parsed.max_tokens.unwrap_or(DEFAULT_DECODE_TOKENS);
-    if decode_tokens == 0 || decode_tokens > MAXIMUM_DECODE_TOKENS {
+    if decode_tokens == 0 || decode_tokens > MAX_DECODE_TOKENS {
         let detail = format!(
-            "max_tokens: {decode_tokens} is not allowed; allowed is 1 to {MAXIMUM_DECODE_TOKENS}"
+            "max_tokens: {decode_tokens} is not allowed; allowed is 1 to {MAX_DECODE_TOKENS}"
         );
         return Err(Kind::MalformedBody.problem(Outcome::NotRun, detail));
     }
-    Ok(Call {
+    Ok(ParsedCall {
         target: Target::Model(parsed.model.clone()),
         prompt_tokens: estimate_prompt_tokens(&body),
         decode_tokens,
@@ -222,36 +225,36 @@
     })
 }
 
-fn service_call(
+fn parse_service_call(
     configuration: &Configuration,
     http: &HttpRequest,
     path: &str,
-    envelope: &Envelope,
+    headers: &RequestHeaders,
     body: Bytes,
-) -> Result<Call, Problem> {
-    let rest = path.strip_prefix(SERVICE_PREFIX).unwrap_or_default();
-    let (name, inner) = rest.split_once('/').unwrap_or((rest, ""));
+) -> Result<ParsedCall, Problem> {
+    let name_and_path = path.strip_prefix(SERVICE_PATH_PREFIX).unwrap_or_default();
+    let (name, inner_path) = name_and_path.split_once('/').unwrap_or((name_and_path, ""));
     let Some(service) = configuration.service(name) else {
         let detail = format!("{name:?} is no configured service");
         return Err(Kind::UnknownService.problem(Outcome::NotRun, detail));
     };
     let target = match http.uri().query() {
-        Some(query) => format!("/{inner}?{query}"),
-        None => format!("/{inner}"),
+        Some(query) => format!("/{inner_path}?{query}"),
+        None => format!("/{inner_path}"),
     };
-    let safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
+    let is_safe_method = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
     let content_type = http.headers().get(CONTENT_TYPE);
-    Ok(Call {
+    Ok(ParsedCall {
         target: Target::Service(service.name.clone()),
         prompt_tokens: 0,
         decode_tokens: 1,
-        repeatable: safe || service.repeatable,
+        repeatable: is_safe_method || service.repeatable,
         payload: Payload::Service {
             service: service.name.clone(),
             method: http.method().to_string(),
             path: target,
             content_type: content_type.and_then(|value| value.to_str().ok().map(String::from)),
-            idempotency_key: envelope.idempotency_key.clone(),
+            idempotency_key: headers.idempotency_key.clone(),
             body,
         },
     })
--- a/crates/stacktack-router/src/settings.rs
+++ b/crates/stacktack-router/src/settings.rs
@@ -9,33 +9,33 @@
 const FLAGS: &[Flag] = &[
     Flag::required("name", "NAME", "unique name of this router"),
     Flag::required("zone", "ZONE", "zone of this machine"),
-    Flag::required("listen", "IP:PORT", "address for callers, HTTP"),
-    Flag::required("gossip", "IP:PORT", "address for gossip, UDP"),
-    Flag::required("operator", "IP:PORT", "address for operators, HTTP"),
+    Flag::required("listen", "IP:PORT", "HTTP address for callers"),
+    Flag::required("gossip", "IP:PORT", "UDP address for gossip"),
+    Flag::required("operator", "IP:PORT", "HTTP address for operators"),
     Flag::required("platform", "IP:PORT", "address of the platform"),
     Flag::with_default("threads", "NUMBER", "1", "traffic threads"),
     Flag::with_default(
         "policy",
         "NAME",
         "bounded",
-        "rule of choice: bounded, rendezvous, two-choices, least-loaded",
+        "placement policy: bounded, rendezvous, two-choices, least-loaded",
     ),
     Flag::with_default(
         "body-timeout-ms",
         "MILLISECONDS",
         "10000",
-        "time for a caller's body to come",
+        "time within which a request body must arrive",
     ),
     Flag::with_default(
         "control-bytes",
         "NUMBER",
         "1750",
-        "bytes a second of control traffic, both ways",
+        "bytes per second of control traffic, sent and received together",
     ),
     Flag::switch("check", "validate the settings and exit"),
 ];
 
-/// Rules of choice by name.
+/// Placement policies by name.
 pub const POLICIES: &[(&str, Policy)] = &[
     ("bounded", Policy::Bounded),
     ("rendezvous", Policy::Rendezvous),
@@ -43,7 +43,7 @@
     ("least-loaded", Policy::LeastLoaded),
 ];
 
-/// What the router is told at start.
+/// Validated settings of a router process.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     /// Name of the router.
@@ -58,22 +58,22 @@
     pub operator: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Traffic threads.
+    /// Number of traffic threads.
     pub threads: usize,
-    /// Rule of choice.
+    /// Placement policy, by which back ends are chosen.
     pub policy: Policy,
-    /// Time for a caller's body to come.
+    /// Time within which a request body must arrive.
     pub body_timeout: Duration,
-    /// Bytes a second of control traffic.
+    /// Budget of control traffic, in bytes per second.
     pub control_bytes: f64,
-    /// Whether to stop after validation.
+    /// Whether the process exits after validating the settings.
     pub check_only: bool,
 }
 
 impl RouterSettings {
-    /// Reads the settings; exits when they are bad.
+    /// Reads flags and environment variables; exits with code 2 if a setting is invalid.
     pub fn read() -> Self {
-        let summary = "Takes callers' requests and routes them to back ends.";
+        let summary = "Accepts callers' requests and routes them to back ends.";
         let mut settings = read_or_exit("stacktack-router", summary, FLAGS);
         let read = RouterSettings {
             name: settings.text("name"),
--- a/crates/stacktack-router/src/shared.rs
+++ b/crates/stacktack-router/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! State and commands shared by the threads of a router.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,33 +13,33 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-/// From a traffic thread to the control thread.
+/// Commands from a traffic thread to the control thread.
 #[derive(Debug)]
 pub enum ControlCommand {
-    /// Changes that an agent handed over.
+    /// Configuration changes received from an agent.
     Changes(EncodedChanges),
-    /// An agent has a later configuration.
-    WantConfiguration,
+    /// An agent has a newer configuration than this router.
+    ConfigurationStale,
 }
 
-/// From the control thread to a traffic thread.
+/// Commands from the control thread to a traffic thread.
 #[derive(Debug)]
 pub enum WorkerCommand {
-    /// Asks for the record of a request.
+    /// Asks for the decision record of a request.
     Explain(RequestId, oneshot::Sender<Option<RequestRecord>>),
 }
 
 /// State shared by all threads of a router. The traffic threads read the view
-/// and swap in their own worker's counts; the one lock, over the list of
-/// workers, is taken by a traffic thread only when it starts.
-pub struct Shared {
-    /// The router's name.
+/// and swap in their own counters; the only lock, on the list of workers, is
+/// taken by a traffic thread only when it starts.
+pub struct SharedState {
+    /// Name of the router.
     pub name: String,
-    /// Clock of the process.
+    /// Clock of the process, the same for all threads.
     pub clock: ProcessClock,
-    /// View in force.
+    /// Current view of configuration and agents.
     pub view: ArcSwap<RouterView>,
-    /// Commands to the control thread.
+    /// Sends commands to the control thread.
     pub control: UnboundedSender<ControlCommand>,
     stopping: AtomicBool,
     open_callers: AtomicUsize,
@@ -51,14 +51,14 @@
     counters: Arc<ArcSwap<DispatchCounters>>,
 }
 
-impl Shared {
-    /// State of a router that has no view yet.
+impl SharedState {
+    /// Creates the state with an empty view.
     pub fn new(
         name: String,
         clock: ProcessClock,
         control: UnboundedSender<ControlCommand>,
     ) -> Self {
-        Shared {
+        SharedState {
             name,
             clock,
             view: ArcSwap::from_pointee(RouterView::default()),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Adds a traffic thread; returns the place for its counts.
+    /// Registers a traffic thread and returns the cell in which it publishes its counters.
     pub fn add_worker(
         &self,
         commands: UnboundedSender<WorkerCommand>,
@@ -84,7 +84,7 @@
         counters
     }
 
-    /// Commands to each traffic thread.
+    /// One command sender per traffic thread.
     pub fn worker_commands(&self) -> Vec<UnboundedSender<WorkerCommand>> {
         let workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         workers
@@ -93,7 +93,7 @@
             .collect()
     }
 
-    /// Counts of all traffic threads together.
+    /// Sum of the counters of all traffic threads.
     pub fn counters(&self) -> DispatchCounters {
         let workers = self.workers.lock().unwrap_or_else(PoisonError::into_inner);
         let mut total = DispatchCounters::default();
@@ -103,27 +103,27 @@
         total
     }
 
-    /// Takes no requests from now on.
+    /// Refuses new requests from now on.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether no requests are taken.
+    /// Whether new requests are refused because the router is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Counts a caller that waits for its answer.
-    pub fn open_caller(&self) {
+    /// Counts a caller that waits for its response.
+    pub fn add_open_caller(&self) {
         self.open_callers.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Counts a caller that has its answer or left.
-    pub fn close_caller(&self) {
+    /// Removes a caller that has its complete response or disconnected.
+    pub fn remove_open_caller(&self) {
         self.open_callers.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Callers that wait for their answers.
+    /// Number of callers whose responses are not complete.
     pub fn open_callers(&self) -> usize {
         self.open_callers.load(Ordering::Acquire)
     }
--- a/crates/stacktack-router/src/traffic.rs
+++ b/crates/stacktack-router/src/traffic.rs
@@ -1,4 +1,5 @@
-//! One traffic thread: callers, the dispatcher, connections to agents.
+//! A traffic thread: drives the dispatcher with callers' requests, agents'
+//! messages and a timer, and carries out its outputs.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,18 +22,19 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::sync::oneshot;
 
-use crate::caller::{reply, AnswerStart, CallerGuard, CallerSender};
-use crate::entry::read_request;
+use crate::caller::{build_response, CallerGuard, CallerSender, ResponseStart};
 use crate::links::Links;
+use crate::request::read_request;
 use crate::settings::RouterSettings;
-use crate::shared::{ControlCommand, Shared, WorkerCommand};
+use crate::shared::{ControlCommand, SharedState, WorkerCommand};
 
-/// Time between looks at timers and views.
-const TICK: Duration = Duration::from_millis(10);
+/// Time between two ticks, which fire the dispatcher's timers, pick up a new view
+/// and publish the counters.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A traffic thread.
+/// Handle to the state of one traffic thread.
 #[derive(Clone)]
-pub struct Traffic {
+pub struct TrafficHandle {
     inner: Rc<Inner>,
 }
 
@@ -41,24 +43,24 @@
     callers: RefCell<HashMap<RequestId, CallerSender>>,
     links: Links,
     platform: PlatformClient,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     router: NodeId,
     body_timeout: Duration,
     random: RefCell<ChaCha8Rng>,
     counters: Arc<ArcSwap<DispatchCounters>>,
 }
 
-impl Traffic {
+impl TrafficHandle {
     /// Starts a traffic thread's tasks on the current thread.
     pub fn start(
         settings: &RouterSettings,
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         dispatcher: Dispatcher,
         seed: u64,
     ) -> Self {
         let (commands, receiver) = unbounded_channel();
         let counters = shared.add_worker(commands);
-        let traffic = Traffic {
+        let traffic = TrafficHandle {
             inner: Rc::new(Inner {
                 dispatcher: RefCell::new(dispatcher),
                 callers: RefCell::new(HashMap::new()),
@@ -72,13 +74,13 @@
             }),
         };
         actix_rt::spawn(traffic.clone().tick());
-        actix_rt::spawn(traffic.clone().obey(receiver));
+        actix_rt::spawn(traffic.clone().handle_commands(receiver));
         traffic
     }
 
-    /// Answers one caller.
-    pub async fn answer(self, http: HttpRequest) -> Response<BoxBody> {
-        let id = self.draw_request();
+    /// Responds to one caller.
+    pub async fn respond(self, http: HttpRequest) -> Response<BoxBody> {
+        let id = self.random_request_id();
         self.refresh_view();
         let view = self.inner.dispatcher.borrow().view().clone();
         let body_timeout = self.inner.body_timeout;
@@ -86,7 +88,7 @@
             Ok(request) => request,
             Err(problem) => {
                 let detail = &problem.detail;
-                log::info!(target: "entry", "request {id} is refused with {}: {detail}", problem.status);
+                log::info!(target: "entry", "request {id} is refused with status {}: {detail}", problem.status);
                 return problem_reply(&problem);
             }
         };
@@ -99,12 +101,12 @@
         self.handle(DispatchInput::Arrived(Box::new(request)));
         let start = start.await.unwrap_or_else(|_| {
             let detail = "the request was dropped";
-            AnswerStart::Problem(Kind::NotReady.problem(Outcome::Unknown, detail))
+            ResponseStart::Problem(Kind::NotReady.problem(Outcome::Unknown, detail))
         });
-        reply(&self.inner.shared.name, id, start, parts, guard)
+        build_response(&self.inner.shared.name, id, start, parts, guard)
     }
 
-    /// Hands an input to the dispatcher and carries out what it wants.
+    /// Passes an input to the dispatcher and carries out its outputs.
     pub fn handle(&self, input: DispatchInput) {
         let mut outputs = Vec::new();
         let now = self.inner.shared.clock.now();
@@ -117,15 +119,16 @@
         }
     }
 
-    /// The caller of a request has its answer or left.
-    pub fn caller_left(&self, request: RequestId) {
+    /// Cancels the request of a caller that disconnected or reads too slowly; has no
+    /// effect once the request has ended.
+    pub fn on_caller_left(&self, request: RequestId) {
         if self.inner.callers.borrow_mut().remove(&request).is_some() {
-            log::info!(target: "traffic", "request {request}: the caller left");
+            log::info!(target: "traffic", "request {request}: the caller disconnected or is too slow");
             self.handle(DispatchInput::CallerGone(request));
         }
     }
 
-    fn draw_request(&self) -> RequestId {
+    fn random_request_id(&self) -> RequestId {
         let mut random = self.inner.random.borrow_mut();
         let high = u128::from(random.next_u64());
         let low = u128::from(random.next_u64());
@@ -134,8 +137,8 @@
 
     fn refresh_view(&self) {
         let view = self.inner.shared.view.load_full();
-        let held = self.inner.dispatcher.borrow().view().clone();
-        if !Arc::ptr_eq(&view, &held) {
+        let current = self.inner.dispatcher.borrow().view().clone();
+        if !Arc::ptr_eq(&view, &current) {
             self.handle(DispatchInput::View(view));
         }
     }
@@ -145,15 +148,17 @@
             DispatchOutput::Connect(agent) => self.connect(agent),
             DispatchOutput::Disconnect(agent) => self.inner.links.disconnect(agent),
             DispatchOutput::ToAgent { agent, message } => self.inner.links.send(agent, message),
-            DispatchOutput::ToTable { request, operation } => self.call_table(request, operation),
+            DispatchOutput::ToTable { request, operation } => {
+                self.send_to_table(request, operation)
+            }
             DispatchOutput::Head {
                 request,
                 status,
                 content_type,
                 agent,
-            } => self.start_answer(
+            } => self.start_response(
                 request,
-                AnswerStart::Head {
+                ResponseStart::Head {
                     status,
                     content_type,
                     agent,
@@ -163,10 +168,10 @@
                 let mut callers = self.inner.callers.borrow_mut();
                 let sent = callers
                     .get_mut(&request)
-                    .is_some_and(|caller| caller.body(bytes));
+                    .is_some_and(|caller| caller.send_body(bytes));
                 drop(callers);
                 if !sent {
-                    self.caller_left(request);
+                    self.on_caller_left(request);
                 }
             }
             DispatchOutput::End { request } => {
@@ -174,41 +179,43 @@
                     caller.end();
                 }
             }
-            DispatchOutput::Problem { request, problem } => self.refuse(request, problem),
+            DispatchOutput::Problem { request, problem } => self.send_problem(request, problem),
             DispatchOutput::Abort { request, problem } => {
-                log::warn!(target: "traffic", "request {request} ends incomplete: {}", problem.detail);
+                log::warn!(target: "traffic", "request {request} ends with an incomplete response: {}", problem.detail);
                 if let Some(caller) = self.inner.callers.borrow_mut().remove(&request) {
-                    caller.cut(&problem);
+                    caller.abort(&problem);
                 }
             }
-            DispatchOutput::Changes(changes) => self.tell_control(ControlCommand::Changes(changes)),
+            DispatchOutput::Changes(changes) => {
+                self.send_to_control(ControlCommand::Changes(changes))
+            }
             DispatchOutput::FetchConfiguration => {
-                self.tell_control(ControlCommand::WantConfiguration);
+                self.send_to_control(ControlCommand::ConfigurationStale);
             }
         }
     }
 
-    fn start_answer(&self, request: RequestId, start: AnswerStart) {
+    fn start_response(&self, request: RequestId, start: ResponseStart) {
         if let Some(caller) = self.inner.callers.borrow_mut().get_mut(&request) {
             caller.start(start);
         }
     }
 
-    fn refuse(&self, request: RequestId, problem: Problem) {
+    fn send_problem(&self, request: RequestId, problem: Problem) {
         log::info!(
             target: "traffic",
-            "request {request} is answered with {}: {}",
+            "request {request} ends with status {}: {}",
             problem.status,
             problem.detail
         );
         if let Some(mut caller) = self.inner.callers.borrow_mut().remove(&request) {
-            caller.start(AnswerStart::Problem(problem));
+            caller.start(ResponseStart::Problem(problem));
         }
     }
 
-    fn tell_control(&self, command: ControlCommand) {
+    fn send_to_control(&self, command: ControlCommand) {
         if self.inner.shared.control.send(command).is_err() {
-            log::error!(target: "traffic", "the control thread is gone");
+            log::error!(target: "traffic", "the control thread has ended");
         }
     }
 
@@ -226,7 +233,7 @@
         }
     }
 
-    fn call_table(&self, request: Option<RequestId>, operation: TableOperation) {
+    fn send_to_table(&self, request: Option<RequestId>, operation: TableOperation) {
         let traffic = self.clone();
         actix_rt::spawn(async move {
             let reply = traffic.inner.platform.table(&operation).await;
@@ -237,7 +244,7 @@
     }
 
     async fn tick(self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
             self.refresh_view();
@@ -250,13 +257,13 @@
         }
     }
 
-    async fn obey(self, mut commands: UnboundedReceiver<WorkerCommand>) {
+    async fn handle_commands(self, mut commands: UnboundedReceiver<WorkerCommand>) {
         while let Some(command) = commands.recv().await {
             match command {
-                WorkerCommand::Explain(request, answer) => {
+                WorkerCommand::Explain(request, sender) => {
                     let record = self.inner.dispatcher.borrow().record(request).cloned();
-                    if answer.send(record).is_err() {
-                        log::debug!(target: "traffic", "nobody waits for an explanation");
+                    if sender.send(record).is_err() {
+                        log::debug!(target: "traffic", "the receiver of a decision record was dropped");
                     }
                 }
             }
--- a/crates/stacktack-router/tests/settings.rs
+++ b/crates/stacktack-router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `stacktack-router`: faults are reported together, with exit code 2.
+//! Settings of `stacktack-router`: invalid settings are reported together, with exit code 2.
 
 use std::process::{Command, Output};
 
@@ -28,7 +28,7 @@
     assert!(errors(&output).contains("no-such-flag"));
 }
 
-const GOOD: &[&str] = &[
+const ARGUMENTS_WITHOUT_ZONE: &[&str] = &[
     "--name",
     "router-1",
     "--listen",
@@ -43,7 +43,7 @@
 ];
 
 #[test]
-fn all_faults_are_reported_at_once() {
+fn all_invalid_settings_are_reported_together() {
     let output = run(&["--name", "r", "--listen", "here", "--threads", "0"], &[]);
     assert_eq!(output.status.code(), Some(2));
     let text = errors(&output);
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn a_variable_stands_behind_each_flag() {
-    let without_zone = run(GOOD, &[]);
+fn flags_can_be_set_by_environment_variables() {
+    let without_zone = run(ARGUMENTS_WITHOUT_ZONE, &[]);
     assert_eq!(without_zone.status.code(), Some(2));
-    let with_zone = run(GOOD, &[("STACKTACK_ZONE", "zone-1")]);
+    let with_zone = run(ARGUMENTS_WITHOUT_ZONE, &[("STACKTACK_ZONE", "zone-1")]);
     assert!(with_zone.status.success(), "{}", errors(&with_zone));
 }
 
@@ -69,7 +69,8 @@
 fn a_port_in_use_is_named() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = taken.local_addr().expect("has an address").to_string();
-    let mut arguments: Vec<&str> = GOOD[..GOOD.len() - 1].to_vec();
+    let mut arguments: Vec<&str> =
+        ARGUMENTS_WITHOUT_ZONE[..ARGUMENTS_WITHOUT_ZONE.len() - 1].to_vec();
     arguments[3] = &address;
     let output = run(&arguments, &[("STACKTACK_ZONE", "zone-1")]);
     assert_eq!(output.status.code(), Some(1));
