--- a/crates/stacktack-router/src/caller.rs
+++ b/crates/stacktack-router/src/caller.rs
@@ -130,7 +130,7 @@
     match start {
         ResponseStart::Problem(problem) => {
             let mut response = problem_reply(&problem);
-            add_request_headers(&mut response, request, &decision);
+            add_identity_headers(&mut response, request, &decision);
             response
         }
         ResponseStart::Head {
@@ -152,7 +152,7 @@
     }
 }
 
-fn add_request_headers(response: &mut Response<BoxBody>, request: RequestId, decision: &str) {
+fn add_identity_headers(response: &mut Response<BoxBody>, request: RequestId, decision: &str) {
     use actix_http::header::{HeaderName, HeaderValue};
     let entries = [
         ("stacktack-request", request.to_string()),
