--- a/crates/stacktack-standins/src/bin/stacktack-engine-standin.rs
+++ b/crates/stacktack-standins/src/bin/stacktack-engine-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine, as a process.
+//! Runs the stand-in of a model engine as a process.
 
 use std::time::Duration;
 
@@ -67,15 +67,15 @@
     let address = settings.address("listen");
     let engine = EngineSettings {
         step_base: Duration::from_micros(settings.number("step-us", 1..=10_000_000)),
-        prefill_token: Duration::from_micros(settings.number("prefill-us", 0..=1_000_000)),
-        decode_sequence: Duration::from_micros(settings.number("decode-us", 0..=1_000_000)),
-        batch: settings.number("batch", 1..=100_000),
+        prefill_per_token: Duration::from_micros(settings.number("prefill-us", 0..=1_000_000)),
+        decode_per_sequence: Duration::from_micros(settings.number("decode-us", 0..=1_000_000)),
+        max_batch: settings.number("batch", 1..=100_000),
         cache_tokens: settings.number("cache-tokens", 0..=1_000_000_000),
         load_lag: settings.milliseconds("load-lag-ms", 0..=60_000),
         events: EventSettings {
             delay: settings.milliseconds("event-delay-ms", 0..=60_000),
             lose_every: settings.number("lose-every", 0..=1_000_000_000),
-            kept: 10_000,
+            max_retained: 10_000,
         },
         ..EngineSettings::default()
     };
--- a/crates/stacktack-standins/src/bin/stacktack-platform-standin.rs
+++ b/crates/stacktack-standins/src/bin/stacktack-platform-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform, as a process.
+//! Runs the stand-in of the platform as a process.
 
 use stacktack_node::http::listen;
 use stacktack_node::logging;
--- a/crates/stacktack-standins/src/bin/stacktack-service-standin.rs
+++ b/crates/stacktack-standins/src/bin/stacktack-service-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service, as a process.
+//! Runs the stand-in of a plain service as a process.
 
 use stacktack_node::http::listen;
 use stacktack_node::logging;
--- a/crates/stacktack-standins/src/engine/cache.rs
+++ b/crates/stacktack-standins/src/engine/cache.rs
@@ -1,5 +1,5 @@
-//! The engine's prefix cache: blocks of tokens in limited memory, the least
-//! recently used dropped first, with events that come late and with gaps.
+//! Prefix cache of the engine: blocks of tokens in limited memory with LRU eviction, and cache
+//! events that are published with a delay and with gaps.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,120 +11,121 @@
 /// Tokens in one block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// Bytes of KV cache that one token takes; charged on transfers.
+/// Bytes of KV cache per token, which determine how long a transfer takes.
 pub const BYTES_PER_TOKEN: u64 = 128 * 1024;
 
-/// Hash of a block and all before it.
+/// Hash of a block and of all blocks before it.
 pub type BlockHash = u64;
 
-/// Hashes of the whole blocks of a prompt, each over all tokens up to it.
-pub fn block_chain(tokens: &[u64]) -> Vec<BlockHash> {
+/// Hashes of the full blocks of a prompt, each over all tokens up to the end of its block. Tokens
+/// after the last full block are left out.
+pub fn prefix_block_hashes(tokens: &[u64]) -> Vec<BlockHash> {
     let mut hash = 0;
-    let mut chain = Vec::with_capacity(tokens.len() / BLOCK_TOKENS);
+    let mut hashes = Vec::with_capacity(tokens.len() / BLOCK_TOKENS);
     for block in tokens.chunks_exact(BLOCK_TOKENS) {
         for token in block {
             hash = xxh3_64_with_seed(&token.to_le_bytes(), hash);
         }
-        chain.push(hash);
+        hashes.push(hash);
     }
-    chain
+    hashes
 }
 
-/// What happened to a block.
+/// Change of a block in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It was stored.
+    /// The block was stored.
     Stored,
-    /// It was dropped.
+    /// The block was evicted.
     Evicted,
 }
 
-/// An event as the engine publishes it. Sequence numbers rise by one; a reader
-/// that misses one has a gap.
+/// An event as the engine publishes it. Sequence numbers increase by one, so that a reader sees a
+/// gap where it missed an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event.
+    /// Sequence number of the event.
     pub sequence: u64,
-    /// The block.
+    /// Block that changed.
     pub block: BlockHash,
-    /// What happened.
+    /// Change of the block.
     pub change: CacheChange,
 }
 
-/// How events are published.
+/// Settings for the publication of cache events.
 #[derive(Clone, Copy, Debug)]
 pub struct EventSettings {
     /// Time between a change and its event.
     pub delay: Duration,
-    /// Every how many events one is lost; 0 for none.
+    /// Every `lose_every`-th event is lost; 0 loses none.
     pub lose_every: u64,
-    /// Events kept for readers.
-    pub kept: usize,
+    /// Largest number of events retained for readers.
+    pub max_retained: usize,
 }
 
-/// Blocks in limited memory.
+/// A cache of blocks with a limited capacity and LRU eviction.
 #[derive(Debug)]
 pub struct PrefixCache {
-    capacity: usize,
+    capacity_blocks: usize,
     last_used: HashMap<BlockHash, u64>,
-    by_use: BTreeMap<u64, BlockHash>,
-    clock: u64,
+    by_last_use: BTreeMap<u64, BlockHash>,
+    use_counter: u64,
     settings: EventSettings,
     next_sequence: u64,
     events: VecDeque<(Time, CacheEvent)>,
 }
 
 impl PrefixCache {
-    /// A cache for a number of tokens.
+    /// An empty cache for `capacity_tokens` tokens, rounded down to full blocks.
     pub fn new(capacity_tokens: usize, settings: EventSettings) -> Self {
         PrefixCache {
-            capacity: capacity_tokens / BLOCK_TOKENS,
+            capacity_blocks: capacity_tokens / BLOCK_TOKENS,
             last_used: HashMap::new(),
-            by_use: BTreeMap::new(),
-            clock: 0,
+            by_last_use: BTreeMap::new(),
+            use_counter: 0,
             settings,
             next_sequence: 1,
             events: VecDeque::new(),
         }
     }
 
-    /// Tokens at the front of a chain that are cached; touches them.
-    pub fn reuse(&mut self, chain: &[BlockHash]) -> usize {
-        let present = self.present(chain);
-        for block in &chain[..present] {
+    /// Number of tokens in the cached prefix of a prompt; marks its blocks as recently used.
+    pub fn reuse_prefix(&mut self, block_hashes: &[BlockHash]) -> usize {
+        let cached = self.cached_prefix_blocks(block_hashes);
+        for block in &block_hashes[..cached] {
             self.touch(*block);
         }
-        present * BLOCK_TOKENS
+        cached * BLOCK_TOKENS
     }
 
-    /// Number of blocks at the front of a chain that are cached.
-    pub fn present(&self, chain: &[BlockHash]) -> usize {
-        chain
+    /// Number of blocks in the cached prefix of a prompt.
+    pub fn cached_prefix_blocks(&self, block_hashes: &[BlockHash]) -> usize {
+        block_hashes
             .iter()
             .take_while(|block| self.last_used.contains_key(block))
             .count()
     }
 
-    /// Stores the blocks of a chain.
-    pub fn store(&mut self, now: Time, chain: &[BlockHash]) {
-        for block in chain {
-            let known = self.last_used.contains_key(block);
+    /// Stores the blocks of a prompt and evicts the least recently used blocks above the capacity.
+    pub fn store(&mut self, now: Time, block_hashes: &[BlockHash]) {
+        for block in block_hashes {
+            let was_cached = self.last_used.contains_key(block);
             self.touch(*block);
-            if !known {
+            if !was_cached {
                 self.publish(now, *block, CacheChange::Stored);
             }
         }
-        while self.last_used.len() > self.capacity {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+        while self.last_used.len() > self.capacity_blocks {
+            let Some((_, evicted)) = self.by_last_use.pop_first() else {
                 break;
             };
-            self.last_used.remove(&oldest);
-            self.publish(now, oldest, CacheChange::Evicted);
+            self.last_used.remove(&evicted);
+            self.publish(now, evicted, CacheChange::Evicted);
         }
     }
 
-    /// Events after a sequence number that are due.
+    /// Published events with a sequence number above `sequence`.
     pub fn events_after(&self, now: Time, sequence: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -133,17 +134,17 @@
             .collect()
     }
 
-    /// Number of blocks held.
-    pub fn blocks(&self) -> usize {
+    /// Number of blocks in the cache.
+    pub fn block_count(&self) -> usize {
         self.last_used.len()
     }
 
     fn touch(&mut self, block: BlockHash) {
-        self.clock += 1;
-        if let Some(old) = self.last_used.insert(block, self.clock) {
-            self.by_use.remove(&old);
+        self.use_counter += 1;
+        if let Some(previous_use) = self.last_used.insert(block, self.use_counter) {
+            self.by_last_use.remove(&previous_use);
         }
-        self.by_use.insert(self.clock, block);
+        self.by_last_use.insert(self.use_counter, block);
     }
 
     fn publish(&mut self, now: Time, block: BlockHash, change: CacheChange) {
@@ -160,17 +161,17 @@
             change,
         };
         self.events.push_back((now + self.settings.delay, event));
-        while self.events.len() > self.settings.kept {
+        while self.events.len() > self.settings.max_retained {
             self.events.pop_front();
         }
     }
 }
 
-/// Asks for the KV cache of a prompt's front.
+/// Body of a request to export the KV cache of a prompt's cached prefix.
 #[derive(Clone, Debug, Deserialize)]
 pub struct KvExportRequest {
-    /// Model of the prompt.
+    /// Model that the prompt is for.
     pub model: String,
-    /// The prompt's messages.
+    /// Messages of the prompt.
     pub messages: Vec<crate::response::ChatMessage>,
 }
--- a/crates/stacktack-standins/src/engine/mod.rs
+++ b/crates/stacktack-standins/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a model engine: continuous batching, prefix cache, priorities,
-//! cancel, resume, KV export and import, late cache events, fenced orders.
+//! Stand-in of a model engine with continuous batching, a prefix cache, priorities, cancellation
+//! and resumption of streams, KV cache export and import, delayed cache events and fenced orders.
 
 pub mod cache;
 pub mod model;
--- a/crates/stacktack-standins/src/engine/model.rs
+++ b/crates/stacktack-standins/src/engine/model.rs
@@ -1,10 +1,10 @@
-//! The engine's scheduler: continuous batching in steps.
+//! Scheduler of the engine: continuous batching in steps.
 //!
-//! One step gives each decoding sequence a token and spends a budget of prompt
-//! tokens on those in prefill, higher priorities first. Its length is
+//! One step generates a token for each decoding sequence and spends a budget of prompt tokens on
+//! the sequences in prefill, higher priorities first. Its duration is
 //!
 //! ```text
-//! step_base + prefill_tokens * prefill_token + decoding_sequences * decode_sequence
+//! step_base + prefill_tokens * prefill_per_token + decoding_sequences * decode_per_sequence
 //! ```
 
 use std::collections::{BTreeMap, HashMap};
@@ -16,33 +16,33 @@
 use thiserror::Error;
 
 use super::cache::{
-    block_chain, BlockHash, EventSettings, PrefixCache, BLOCK_TOKENS, BYTES_PER_TOKEN,
+    prefix_block_hashes, BlockHash, EventSettings, PrefixCache, BLOCK_TOKENS, BYTES_PER_TOKEN,
 };
-use crate::response::{attempt_number, response_seed, response_word, token_of};
+use crate::response::{attempt_number, response_seed, response_word, word_token};
 
-/// Prompt tokens that one step may compute.
-const PREFILL_BUDGET: usize = 512;
+/// Prompt tokens that one step computes at most.
+const MAX_PREFILL_TOKENS_PER_STEP: usize = 512;
 
 /// Cost model and limits of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSettings {
-    /// Fixed part of a step.
+    /// Fixed part of the duration of a step.
     pub step_base: Duration,
-    /// Time for one prompt token.
-    pub prefill_token: Duration,
+    /// Time that each prompt token adds to a step.
+    pub prefill_per_token: Duration,
     /// Time that each decoding sequence adds to a step.
-    pub decode_sequence: Duration,
-    /// Sequences that run at once; more wait.
-    pub batch: usize,
-    /// Sequences that may wait; more are refused.
-    pub waiting: usize,
-    /// Tokens that the prefix cache holds.
+    pub decode_per_sequence: Duration,
+    /// Largest number of sequences that run at once; further sequences wait.
+    pub max_batch: usize,
+    /// Largest number of sequences that wait; further requests are rejected.
+    pub max_waiting: usize,
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: usize,
-    /// Publication of cache events.
+    /// Settings for the publication of cache events.
     pub events: EventSettings,
-    /// Age of the load that is reported.
+    /// Age of the load in a load report.
     pub load_lag: Duration,
-    /// Bytes a second at which KV cache is exported and imported.
+    /// Rate at which KV cache is exported and imported, in bytes per second.
     pub transfer_bytes_per_second: u64,
 }
 
@@ -50,15 +50,15 @@
     fn default() -> Self {
         EngineSettings {
             step_base: Duration::from_millis(4),
-            prefill_token: Duration::from_micros(40),
-            decode_sequence: Duration::from_micros(100),
-            batch: 32,
-            waiting: 64,
+            prefill_per_token: Duration::from_micros(40),
+            decode_per_sequence: Duration::from_micros(100),
+            max_batch: 32,
+            max_waiting: 64,
             cache_tokens: 200_000,
             events: EventSettings {
                 delay: Duration::from_millis(300),
                 lose_every: 97,
-                kept: 10_000,
+                max_retained: 10_000,
             },
             load_lag: Duration::from_millis(500),
             transfer_bytes_per_second: 10_000_000_000,
@@ -66,117 +66,117 @@
     }
 }
 
-/// A request to the engine.
+/// A generation request to the engine.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Name of the stream, unique per attempt.
     pub id: String,
     /// Tokens of the prompt.
     pub prompt: Vec<u64>,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub length: u32,
-    /// Priority in the batch.
+    /// Priority in the queue and in prefill.
     pub priority: Priority,
 }
 
-/// The engine did not take a request; it certainly does not run.
+/// The engine rejected a request, which certainly does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum EngineRefusal {
-    /// Too many requests wait.
+pub enum SubmitError {
+    /// The limit of waiting requests is reached.
     #[error("too many requests wait")]
-    Full,
-    /// A stream of this name exists.
+    QueueFull,
+    /// The engine has or had a stream of the same name.
     #[error("a stream of this name exists")]
-    Duplicate,
+    DuplicateStream,
 }
 
-/// What a step brought.
+/// Result of a step for one sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
-    /// A sequence got a token.
+    /// A token was generated.
     Token {
-        /// Stream.
+        /// Name of the stream.
         id: String,
-        /// Number of the token, from 0.
+        /// Index of the token, from 0.
         index: u32,
-        /// Its word, without the blank behind it.
+        /// Word of the token, without the space that follows it.
         word: String,
     },
-    /// A sequence is whole.
+    /// A sequence is complete.
     Done {
-        /// Stream.
+        /// Name of the stream.
         id: String,
-        /// Token counts.
+        /// Token counts of the sequence.
         usage: Usage,
     },
 }
 
 #[derive(Debug)]
 struct Sequence {
-    chain: Vec<BlockHash>,
+    block_hashes: Vec<BlockHash>,
     prompt: Vec<u64>,
-    prompt_done: usize,
-    cached: usize,
+    prefilled_tokens: usize,
+    cached_tokens: usize,
     length: u32,
     generated: u32,
     seed: u64,
     priority: Priority,
-    order: u64,
+    arrival: u64,
 }
 
-/// State of a stream, for resumption.
+/// State of a stream, from which it can be resumed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamState {
-    /// Seed of its words.
+    /// Seed of the words of the response.
     pub seed: u64,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     pub generated: u32,
-    /// Tokens it will have.
+    /// Number of tokens of the complete stream.
     pub length: u32,
-    /// Token counts, once whole.
+    /// Token counts, once the stream is complete.
     pub usage: Option<Usage>,
-    /// Whether it was cancelled.
+    /// Whether the stream was cancelled.
     pub cancelled: bool,
 }
 
-/// What independent observers read.
+/// Counts of what the engine really ran, for checks.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Observed {
-    /// Times that each stream name was run; more than one is a fault.
+    /// Number of runs by stream name; more than one is a fault.
     pub runs: BTreeMap<String, u32>,
-    /// Streams cancelled.
+    /// Number of cancelled streams.
     pub cancelled: u64,
-    /// Prompt tokens of streams started.
+    /// Prompt tokens of the sequences that started to run.
     pub prompt_tokens: u64,
-    /// Those that came from the cache.
+    /// Those of `prompt_tokens` that were reused from the cache.
     pub reused_tokens: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub generated_tokens: u64,
-    /// KV tokens imported.
+    /// Tokens of imported KV cache.
     pub imported_tokens: u64,
 }
 
-/// Load as the engine reports it, late.
+/// Load of the engine, as in its load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EngineLoad {
-    /// Sequences that run.
+    /// Number of running sequences.
     pub running: usize,
-    /// Sequences that wait.
+    /// Number of waiting sequences.
     pub waiting: usize,
-    /// Tokens still to compute or generate.
+    /// Prompt tokens still to compute and tokens still to generate.
     pub tokens: u64,
 }
 
-/// KV cache of a prompt's front, as exported.
+/// Exported KV cache of the cached prefix of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
 pub struct KvExport {
-    /// Blocks from the front.
+    /// Blocks of the prefix, from its start.
     pub blocks: Vec<BlockHash>,
-    /// Size in bytes.
+    /// Size of the KV cache in bytes.
     pub bytes: u64,
 }
 
-/// The engine without its server.
+/// The engine without its HTTP server.
 pub struct EngineModel {
     settings: EngineSettings,
     running: HashMap<String, Sequence>,
@@ -185,8 +185,8 @@
     cache: PrefixCache,
     step_end: Option<Time>,
     step_prefill: Vec<(String, usize)>,
-    next_order: u64,
-    loads: Vec<(Time, EngineLoad)>,
+    last_arrival: u64,
+    load_history: Vec<(Time, EngineLoad)>,
     observed: Observed,
 }
 
@@ -201,19 +201,19 @@
             cache: PrefixCache::new(settings.cache_tokens, settings.events),
             step_end: None,
             step_prefill: Vec::new(),
-            next_order: 0,
-            loads: Vec::new(),
+            last_arrival: 0,
+            load_history: Vec::new(),
             observed: Observed::default(),
         }
     }
 
-    /// Takes a request in.
-    pub fn submit(&mut self, now: Time, job: Job) -> Result<(), EngineRefusal> {
+    /// Queues a request, and begins a step if none runs.
+    pub fn submit(&mut self, now: Time, job: Job) -> Result<(), SubmitError> {
         if self.streams.contains_key(&job.id) {
-            return Err(EngineRefusal::Duplicate);
+            return Err(SubmitError::DuplicateStream);
         }
-        if self.waiting.len() >= self.settings.waiting {
-            return Err(EngineRefusal::Full);
+        if self.waiting.len() >= self.settings.max_waiting {
+            return Err(SubmitError::QueueFull);
         }
         let seed = response_seed(&job.prompt, attempt_number(&job.id));
         self.streams.insert(
@@ -227,27 +227,27 @@
             },
         );
         *self.observed.runs.entry(job.id.clone()).or_insert(0) += 1;
-        self.next_order += 1;
+        self.last_arrival += 1;
         let sequence = Sequence {
-            chain: block_chain(&job.prompt),
+            block_hashes: prefix_block_hashes(&job.prompt),
             prompt: job.prompt,
-            prompt_done: 0,
-            cached: 0,
+            prefilled_tokens: 0,
+            cached_tokens: 0,
             length: job.length,
             generated: 0,
             seed,
             priority: job.priority,
-            order: self.next_order,
+            arrival: self.last_arrival,
         };
         self.waiting.push((job.id, sequence));
         if self.step_end.is_none() {
             self.begin_step(now);
         }
-        self.note_load(now);
+        self.record_load(now);
         Ok(())
     }
 
-    /// Stops a stream; false when it is not under way.
+    /// Cancels a stream; returns false if it neither runs nor waits.
     pub fn cancel(&mut self, now: Time, id: &str) -> bool {
         let was_running = self.running.remove(id).is_some();
         let waiting_before = self.waiting.len();
@@ -258,22 +258,22 @@
             if let Some(stream) = self.streams.get_mut(id) {
                 stream.cancelled = true;
             }
-            self.note_load(now);
+            self.record_load(now);
         }
         found
     }
 
-    /// State of a stream.
+    /// State of a stream, also after its end.
     pub fn stream(&self, id: &str) -> Option<&StreamState> {
         self.streams.get(id)
     }
 
-    /// End of the step under way.
+    /// End of the current step; none if no step runs.
     pub fn step_end(&self) -> Option<Time> {
         self.step_end
     }
 
-    /// Carries out all steps that end by `now`.
+    /// Finishes all steps that end by `now` and returns their results.
     pub fn advance(&mut self, now: Time) -> Vec<EngineEvent> {
         let mut events = Vec::new();
         while let Some(end) = self.step_end {
@@ -282,30 +282,30 @@
             }
             self.finish_step(end, &mut events);
             self.begin_step(end);
-            self.note_load(end);
+            self.record_load(end);
         }
         events
     }
 
-    /// What observers read.
+    /// Counts of what the engine really ran.
     pub fn observed(&self) -> &Observed {
         &self.observed
     }
 
-    /// Load as it was the reporting lag ago.
+    /// Load as it was `load_lag` ago.
     pub fn reported_load(&self, now: Time) -> EngineLoad {
-        let known = self
-            .loads
+        let reported = self
+            .load_history
             .iter()
             .rev()
             .find(|(at, _)| now.since(*at) >= self.settings.load_lag);
-        known.map(|(_, load)| *load).unwrap_or_default()
+        reported.map(|(_, load)| *load).unwrap_or_default()
     }
 
-    /// Load as it is, for observers.
-    pub fn true_load(&self) -> EngineLoad {
+    /// Load at present, for checks.
+    pub fn current_load(&self) -> EngineLoad {
         let remaining = |sequence: &Sequence| {
-            let prompt = sequence.prompt.len() - sequence.prompt_done;
+            let prompt = sequence.prompt.len() - sequence.prefilled_tokens;
             prompt as u64 + u64::from(sequence.length - sequence.generated)
         };
         let running: u64 = self.running.values().map(remaining).sum();
@@ -321,26 +321,26 @@
         }
     }
 
-    /// Cache events after a sequence number, as far as they are due.
+    /// Published cache events with a sequence number above `after`.
     pub fn cache_events(&self, now: Time, after: u64) -> Vec<super::cache::CacheEvent> {
         self.cache.events_after(now, after)
     }
 
-    /// Blocks held in the cache.
-    pub fn cached_blocks(&self) -> usize {
-        self.cache.blocks()
+    /// Number of blocks in the prefix cache.
+    pub fn cached_block_count(&self) -> usize {
+        self.cache.block_count()
     }
 
-    /// KV cache of the front of a prompt, with the time that the export takes.
+    /// KV cache of the cached prefix of a prompt, with the time that the export takes.
     pub fn export(&mut self, prompt: &[u64]) -> (KvExport, Duration) {
-        let chain = block_chain(prompt);
-        let present = self.cache.present(&chain);
-        let blocks = chain[..present].to_vec();
-        let bytes = (present * BLOCK_TOKENS) as u64 * BYTES_PER_TOKEN;
+        let block_hashes = prefix_block_hashes(prompt);
+        let cached = self.cache.cached_prefix_blocks(&block_hashes);
+        let blocks = block_hashes[..cached].to_vec();
+        let bytes = (cached * BLOCK_TOKENS) as u64 * BYTES_PER_TOKEN;
         (KvExport { blocks, bytes }, self.transfer_time(bytes))
     }
 
-    /// Takes exported KV cache in; returns the time that the import takes.
+    /// Stores exported KV cache; returns the time that the import takes.
     pub fn import(&mut self, now: Time, export: &KvExport) -> Duration {
         self.cache.store(now, &export.blocks);
         self.observed.imported_tokens += (export.blocks.len() * BLOCK_TOKENS) as u64;
@@ -351,28 +351,28 @@
         Duration::from_secs_f64(bytes as f64 / self.settings.transfer_bytes_per_second as f64)
     }
 
-    fn note_load(&mut self, now: Time) {
-        let load = self.true_load();
-        self.loads.push((now, load));
+    fn record_load(&mut self, now: Time) {
+        let load = self.current_load();
+        self.load_history.push((now, load));
         let lag = self.settings.load_lag;
-        let obsolete = self
-            .loads
+        let first_needed = self
+            .load_history
             .iter()
             .rposition(|(at, _)| now.since(*at) >= lag)
             .unwrap_or(0);
-        self.loads.drain(..obsolete);
+        self.load_history.drain(..first_needed);
     }
 
     fn admit_waiting(&mut self) {
         self.waiting
-            .sort_by_key(|(_, sequence)| (std::cmp::Reverse(sequence.priority), sequence.order));
-        while self.running.len() < self.settings.batch && !self.waiting.is_empty() {
+            .sort_by_key(|(_, sequence)| (std::cmp::Reverse(sequence.priority), sequence.arrival));
+        while self.running.len() < self.settings.max_batch && !self.waiting.is_empty() {
             let (id, mut sequence) = self.waiting.remove(0);
-            let reused = self.cache.reuse(&sequence.chain);
-            sequence.cached = reused.min(sequence.prompt.len().saturating_sub(1));
-            sequence.prompt_done = sequence.cached;
+            let reused = self.cache.reuse_prefix(&sequence.block_hashes);
+            sequence.cached_tokens = reused.min(sequence.prompt.len().saturating_sub(1));
+            sequence.prefilled_tokens = sequence.cached_tokens;
             self.observed.prompt_tokens += sequence.prompt.len() as u64;
-            self.observed.reused_tokens += sequence.cached as u64;
+            self.observed.reused_tokens += sequence.cached_tokens as u64;
             self.running.insert(id, sequence);
         }
     }
@@ -387,15 +387,15 @@
         let mut in_prefill: Vec<(&String, &Sequence)> = self
             .running
             .iter()
-            .filter(|(_, sequence)| sequence.prompt_done < sequence.prompt.len())
+            .filter(|(_, sequence)| sequence.prefilled_tokens < sequence.prompt.len())
             .collect();
         in_prefill
-            .sort_by_key(|(_, sequence)| (std::cmp::Reverse(sequence.priority), sequence.order));
+            .sort_by_key(|(_, sequence)| (std::cmp::Reverse(sequence.priority), sequence.arrival));
         let decoding = self.running.len() - in_prefill.len();
-        let mut budget = PREFILL_BUDGET;
+        let mut budget = MAX_PREFILL_TOKENS_PER_STEP;
         let mut computed = 0;
         for (id, sequence) in in_prefill {
-            let tokens = budget.min(sequence.prompt.len() - sequence.prompt_done);
+            let tokens = budget.min(sequence.prompt.len() - sequence.prefilled_tokens);
             if tokens == 0 {
                 break;
             }
@@ -403,36 +403,36 @@
             computed += tokens;
             self.step_prefill.push((id.clone(), tokens));
         }
-        let length = self.settings.step_base
-            + self.settings.prefill_token * computed as u32
-            + self.settings.decode_sequence * decoding as u32;
-        self.step_end = Some(now + length);
+        let duration = self.settings.step_base
+            + self.settings.prefill_per_token * computed as u32
+            + self.settings.decode_per_sequence * decoding as u32;
+        self.step_end = Some(now + duration);
     }
 
     fn finish_step(&mut self, now: Time, events: &mut Vec<EngineEvent>) {
         let mut ids: Vec<(u64, String)> = self
             .running
             .iter()
-            .filter(|(_, sequence)| sequence.prompt_done >= sequence.prompt.len())
-            .map(|(id, sequence)| (sequence.order, id.clone()))
+            .filter(|(_, sequence)| sequence.prefilled_tokens >= sequence.prompt.len())
+            .map(|(id, sequence)| (sequence.arrival, id.clone()))
             .collect();
         ids.sort_unstable();
         for (id, tokens) in std::mem::take(&mut self.step_prefill) {
             let Some(sequence) = self.running.get_mut(&id) else {
                 continue;
             };
-            sequence.prompt_done += tokens;
-            if sequence.prompt_done >= sequence.prompt.len() {
-                self.cache.store(now, &sequence.chain);
-                ids.push((sequence.order, id));
+            sequence.prefilled_tokens += tokens;
+            if sequence.prefilled_tokens >= sequence.prompt.len() {
+                self.cache.store(now, &sequence.block_hashes);
+                ids.push((sequence.arrival, id));
             }
         }
         for (_, id) in ids {
-            self.generate(now, id, events);
+            self.generate_token(now, id, events);
         }
     }
 
-    fn generate(&mut self, now: Time, id: String, events: &mut Vec<EngineEvent>) {
+    fn generate_token(&mut self, now: Time, id: String, events: &mut Vec<EngineEvent>) {
         let Some(sequence) = self.running.get_mut(&id) else {
             return;
         };
@@ -440,7 +440,7 @@
         let word = response_word(sequence.seed, index);
         sequence.generated += 1;
         self.observed.generated_tokens += 1;
-        let whole = sequence.generated >= sequence.length;
+        let is_complete = sequence.generated >= sequence.length;
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.generated = sequence.generated;
         }
@@ -449,26 +449,26 @@
             index,
             word,
         });
-        if whole {
-            self.complete(now, id, events);
+        if is_complete {
+            self.complete_sequence(now, id, events);
         }
     }
 
-    fn complete(&mut self, now: Time, id: String, events: &mut Vec<EngineEvent>) {
+    fn complete_sequence(&mut self, now: Time, id: String, events: &mut Vec<EngineEvent>) {
         let Some(sequence) = self.running.remove(&id) else {
             return;
         };
         let usage = Usage {
             prompt_tokens: sequence.prompt.len() as u32,
-            cached_tokens: sequence.cached as u32,
+            cached_tokens: sequence.cached_tokens as u32,
             completion_tokens: sequence.generated,
         };
         let mut tokens = sequence.prompt;
-        tokens.push(token_of("assistant"));
+        tokens.push(word_token("assistant"));
         tokens.extend(
-            (0..sequence.generated).map(|index| token_of(&response_word(sequence.seed, index))),
+            (0..sequence.generated).map(|index| word_token(&response_word(sequence.seed, index))),
         );
-        self.cache.store(now, &block_chain(&tokens));
+        self.cache.store(now, &prefix_block_hashes(&tokens));
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.usage = Some(usage);
         }
--- a/crates/stacktack-standins/src/engine/server.rs
+++ b/crates/stacktack-standins/src/engine/server.rs
@@ -1,5 +1,5 @@
-//! HTTP server of the engine stand-in: the OpenAI-compatible chat completion
-//! call and, beside it, streams, load, cache events, KV cache and orders.
+//! HTTP server of the engine stand-in: the OpenAI-compatible chat completion endpoint, and
+//! endpoints for streams, load, cache events, KV cache and orders.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,33 +24,35 @@
 use super::orders::{Order, OrderState};
 use crate::response::{response_text, response_word, ChatRequest};
 
-/// Largest body taken, in bytes.
-const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body to come.
+/// Time within which a request body must be received.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Detail of a problem about a stream that is not there.
-const UNKNOWN_STREAM: &str = "no stream of this name";
+/// Problem detail for a stream that does not exist.
+const UNKNOWN_STREAM_DETAIL: &str = "no stream of this name";
 
-/// Faults of the engine, switched over HTTP.
+/// Faults that the engine injects, set over HTTP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Refuse new requests with 503.
+    /// Reject new requests with 503.
     pub refuse: bool,
-    /// Break each stream's connection once after this many tokens; 0 for none.
+    /// Break the connection of each event stream once, after this many tokens; 0 breaks none.
     pub break_after: u32,
 }
 
 struct Stream {
-    reader: Option<BodySender>,
+    /// Sender of the response body; none once the body has ended or its connection is gone.
+    sender: Option<BodySender>,
     as_events: bool,
-    broken_once: bool,
+    /// Whether `break_after` no longer applies, since the stream was broken or resumed before.
+    exempt_from_break: bool,
 }
 
 struct State {
-    origin: Instant,
+    started_at: Instant,
     model: EngineModel,
     streams: HashMap<String, Stream>,
     orders: OrderState,
@@ -60,13 +62,14 @@
 
 impl State {
     fn now(&self) -> Time {
-        Time(self.origin.elapsed().as_micros() as u64)
+        Time(self.started_at.elapsed().as_micros() as u64)
     }
 }
 
-type Shared = Rc<RefCell<State>>;
+type SharedState = Rc<RefCell<State>>;
 
-/// Serves an engine on the current thread.
+/// Serves an engine on the current thread. `checks_fence` tells whether it refuses orders of an
+/// older epoch.
 pub async fn run(
     listener: std::net::TcpListener,
     settings: EngineSettings,
@@ -74,7 +77,7 @@
 ) -> std::io::Result<()> {
     let wake = Rc::new(Notify::new());
     let state = Rc::new(RefCell::new(State {
-        origin: Instant::now(),
+        started_at: Instant::now(),
         model: EngineModel::new(settings),
         streams: HashMap::new(),
         orders: OrderState {
@@ -85,22 +88,25 @@
         wake: wake.clone(),
     }));
     actix_rt::spawn(run_steps(state.clone(), wake));
-    serve(listener, move |request| answer(state.clone(), request)).await
+    serve(listener, move |request| {
+        handle_request(state.clone(), request)
+    })
+    .await
 }
 
-/// Carries out the model's steps when they are due.
-async fn run_steps(state: Shared, wake: Rc<Notify>) {
+/// Advances the model at the end of each step and publishes the results.
+async fn run_steps(state: SharedState, wake: Rc<Notify>) {
     loop {
-        let (due, origin) = {
+        let (due, started_at) = {
             let state = state.borrow();
-            (state.model.step_end(), state.origin)
+            (state.model.step_end(), state.started_at)
         };
         let Some(due) = due else {
             wake.notified().await;
             continue;
         };
-        let at = origin + Duration::from_micros(due.0);
-        actix_rt::time::sleep_until(at.into()).await;
+        let due_at = started_at + Duration::from_micros(due.0);
+        actix_rt::time::sleep_until(due_at.into()).await;
         let mut state = state.borrow_mut();
         let now = state.now();
         for event in state.model.advance(now) {
@@ -122,9 +128,9 @@
                 }
                 send(stream, token_event(&id, index, &word));
                 let breaks = break_after > 0 && index + 1 == break_after;
-                if breaks && !stream.broken_once {
-                    stream.broken_once = true;
-                    stream.reader = None;
+                if breaks && !stream.exempt_from_break {
+                    stream.exempt_from_break = true;
+                    stream.sender = None;
                 }
             }
             EngineEvent::Done { id, usage } => self.finish(&id, usage),
@@ -132,34 +138,34 @@
     }
 
     fn finish(&mut self, id: &str, usage: Usage) {
-        let Some(state) = self.model.stream(id).cloned() else {
+        let Some(stream_state) = self.model.stream(id).cloned() else {
             return;
         };
         let Some(stream) = self.streams.get_mut(id) else {
             return;
         };
         if stream.as_events {
-            send(stream, final_event(id, state.length, usage));
+            send(stream, final_event(id, stream_state.length, usage));
         } else {
-            let text = response_text(state.seed, state.length);
+            let text = response_text(stream_state.seed, stream_state.length);
             send(stream, Bytes::from(completion(id, &text, usage)));
         }
-        if let Some(reader) = stream.reader.take() {
-            if reader.end().is_err() {
-                log::debug!(target: "engine", "the reader of {id} left before the end");
+        if let Some(sender) = stream.sender.take() {
+            if sender.end().is_err() {
+                log::debug!(target: "engine", "the client of {id} disconnected before the end of its response");
             }
         }
     }
 }
 
-/// Sends bytes to a stream's reader, if it still has one.
+/// Sends bytes to the client of a stream, if it is still connected.
 fn send(stream: &mut Stream, bytes: Bytes) {
-    let gone = stream
-        .reader
+    let disconnected = stream
+        .sender
         .as_ref()
-        .is_some_and(|reader| reader.send(bytes).is_err());
-    if gone {
-        stream.reader = None;
+        .is_some_and(|sender| sender.send(bytes).is_err());
+    if disconnected {
+        stream.sender = None;
     }
 }
 
@@ -202,8 +208,8 @@
     .to_string()
 }
 
-async fn answer(state: Shared, mut request: Request) -> Response<BoxBody> {
-    let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
+async fn handle_request(state: SharedState, mut request: Request) -> Response<BoxBody> {
+    let body = match read_body(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(error) => return problem_reply(&error.problem()),
     };
@@ -212,7 +218,7 @@
     if let Some(id) = path.strip_prefix("/v1/streams/") {
         return match method {
             Method::DELETE => cancel(&state, id),
-            Method::GET => resume(&state, id, offset_of(&request)),
+            Method::GET => resume(&state, id, query_offset(&request)),
             _ => not_found(&path),
         };
     }
@@ -224,12 +230,14 @@
         }
         (Method::GET, "/v1/cache/events") => {
             let state = state.borrow();
-            let events = state.model.cache_events(state.now(), offset_of(&request));
+            let events = state
+                .model
+                .cache_events(state.now(), query_offset(&request));
             json_reply(StatusCode::OK, &events)
         }
         (Method::POST, "/v1/kv/export") => export(&state, &body).await,
         (Method::POST, "/v1/kv/import") => import(&state, &body).await,
-        (Method::POST, "/v1/orders") => order(&state, &body),
+        (Method::POST, "/v1/orders") => apply_order(&state, &body),
         (Method::GET, "/v1/orders") => json_reply(StatusCode::OK, &state.borrow().orders),
         (Method::GET, "/observed") => json_reply(StatusCode::OK, state.borrow().model.observed()),
         (Method::POST, "/faults") => match serde_json::from_slice(&body) {
@@ -237,7 +245,7 @@
                 state.borrow_mut().faults = faults;
                 json_reply(StatusCode::OK, &faults)
             }
-            Err(error) => malformed(&error),
+            Err(error) => malformed_body(&error),
         },
         _ => not_found(&path),
     }
@@ -247,12 +255,12 @@
     problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path))
 }
 
-fn malformed(error: &serde_json::Error) -> Response<BoxBody> {
+fn malformed_body(error: &serde_json::Error) -> Response<BoxBody> {
     problem_reply(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
 }
 
-/// Value of `after` or `offset` in the query; 0 when absent.
-fn offset_of(request: &Request) -> u64 {
+/// Value of `after` or `offset` in the query; 0 if there is none or it is no number.
+fn query_offset(request: &Request) -> u64 {
     let query = request.uri().query().unwrap_or_default();
     query
         .split('&')
@@ -262,10 +270,10 @@
         .unwrap_or(0)
 }
 
-fn chat(state: &Shared, request: &Request, body: &[u8]) -> Response<BoxBody> {
+fn chat(state: &SharedState, request: &Request, body: &[u8]) -> Response<BoxBody> {
     let chat: ChatRequest = match serde_json::from_slice(body) {
         Ok(chat) => chat,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let header = |name: &str| {
         let value = request.head().headers().get(name)?;
@@ -277,8 +285,8 @@
         return problem_reply(&problem.retry_after(1_000));
     }
     let now = state.now();
-    let unnamed = format!("stream-{}", state.streams.len());
-    let id = header("x-request-id").unwrap_or(unnamed);
+    let default_id = format!("stream-{}", state.streams.len());
+    let id = header("x-request-id").unwrap_or(default_id);
     let priority = match header("x-priority").as_deref() {
         Some("high") => Priority::High,
         Some("low") => Priority::Low,
@@ -295,19 +303,19 @@
         return problem_reply(&problem.retry_after(1_000));
     }
     state.wake.notify_one();
-    let (sender, parts) = body_channel();
+    let (sender, receiver) = body_channel();
     state.streams.insert(
         id.clone(),
         Stream {
-            reader: Some(sender),
+            sender: Some(sender),
             as_events: chat.stream,
-            broken_once: false,
+            exempt_from_break: false,
         },
     );
-    stream_reply(chat.stream, ChannelBody::new(parts, || {}))
+    stream_response(chat.stream, ChannelBody::new(receiver, || {}))
 }
 
-fn stream_reply(as_events: bool, body: ChannelBody) -> Response<BoxBody> {
+fn stream_response(as_events: bool, body: ChannelBody) -> Response<BoxBody> {
     let content_type = if as_events {
         "text/event-stream"
     } else {
@@ -319,51 +327,51 @@
         .unwrap_or_else(|_| Response::new(StatusCode::INTERNAL_SERVER_ERROR))
 }
 
-fn cancel(state: &Shared, id: &str) -> Response<BoxBody> {
+fn cancel(state: &SharedState, id: &str) -> Response<BoxBody> {
     let mut state = state.borrow_mut();
     let now = state.now();
     if !state.model.cancel(now, id) {
-        return not_found(UNKNOWN_STREAM);
+        return not_found(UNKNOWN_STREAM_DETAIL);
     }
-    let reader = state.streams.remove(id).and_then(|stream| stream.reader);
-    if reader.is_some_and(|reader| reader.end().is_err()) {
-        log::debug!(target: "engine", "the reader of {id} left before the cancel");
+    let sender = state.streams.remove(id).and_then(|stream| stream.sender);
+    if sender.is_some_and(|sender| sender.end().is_err()) {
+        log::debug!(target: "engine", "the client of {id} disconnected before the stream was cancelled");
     }
     json_reply(StatusCode::OK, &())
 }
 
-/// Sends a stream again from a token onwards and goes on with it.
-fn resume(state: &Shared, id: &str, offset: u64) -> Response<BoxBody> {
+/// Sends a stream from the token at `offset` on, and continues it on this connection.
+fn resume(state: &SharedState, id: &str, offset: u64) -> Response<BoxBody> {
     let mut state = state.borrow_mut();
-    let Some(known) = state.model.stream(id).cloned() else {
-        return not_found(UNKNOWN_STREAM);
+    let Some(stream_state) = state.model.stream(id).cloned() else {
+        return not_found(UNKNOWN_STREAM_DETAIL);
     };
-    if known.cancelled {
-        return not_found(UNKNOWN_STREAM);
+    if stream_state.cancelled {
+        return not_found(UNKNOWN_STREAM_DETAIL);
     }
     let Some(stream) = state.streams.get_mut(id) else {
-        return not_found(UNKNOWN_STREAM);
+        return not_found(UNKNOWN_STREAM_DETAIL);
     };
-    let (sender, parts) = body_channel();
-    stream.reader = Some(sender);
-    stream.broken_once = true;
+    let (sender, receiver) = body_channel();
+    stream.sender = Some(sender);
+    stream.exempt_from_break = true;
     let as_events = stream.as_events;
     if as_events {
-        for index in offset as u32..known.generated {
-            let word = response_word(known.seed, index);
+        for index in offset as u32..stream_state.generated {
+            let word = response_word(stream_state.seed, index);
             send(stream, token_event(id, index, &word));
         }
     }
-    if let Some(usage) = known.usage {
+    if let Some(usage) = stream_state.usage {
         state.finish(id, usage);
     }
-    stream_reply(as_events, ChannelBody::new(parts, || {}))
+    stream_response(as_events, ChannelBody::new(receiver, || {}))
 }
 
-async fn export(state: &Shared, body: &[u8]) -> Response<BoxBody> {
+async fn export(state: &SharedState, body: &[u8]) -> Response<BoxBody> {
     let request: KvExportRequest = match serde_json::from_slice(body) {
         Ok(request) => request,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let chat = ChatRequest {
         model: request.model,
@@ -376,10 +384,10 @@
     json_reply(StatusCode::OK, &export)
 }
 
-async fn import(state: &Shared, body: &[u8]) -> Response<BoxBody> {
+async fn import(state: &SharedState, body: &[u8]) -> Response<BoxBody> {
     let export: KvExport = match serde_json::from_slice(body) {
         Ok(export) => export,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let duration = {
         let mut state = state.borrow_mut();
@@ -390,10 +398,10 @@
     json_reply(StatusCode::OK, &())
 }
 
-fn order(state: &Shared, body: &[u8]) -> Response<BoxBody> {
+fn apply_order(state: &SharedState, body: &[u8]) -> Response<BoxBody> {
     let order: Order = match serde_json::from_slice(body) {
         Ok(order) => order,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let mut state = state.borrow_mut();
     match state.orders.apply(order) {
--- a/crates/stacktack-standins/src/platform/faults.rs
+++ b/crates/stacktack-standins/src/platform/faults.rs
@@ -1,29 +1,29 @@
-//! Faults of the table and object store.
+//! Faults of the table and of the object store.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How the store behaves.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "mode")]
 pub enum StoreFault {
-    /// As it should.
+    /// The store works normally.
     #[default]
     Up,
-    /// Refuses everything.
+    /// The store refuses every operation.
     Down,
-    /// Answers late.
+    /// The store responds late.
     Slow {
-        /// Delay of each answer in milliseconds.
+        /// Delay of each response in milliseconds.
         delay_ms: u64,
     },
-    /// Writes take effect, then the connection is closed without an answer.
+    /// Writes take effect, but the connection closes before the response is complete.
     LoseReplies,
 }
 
 impl StoreFault {
-    /// Delay of each answer.
+    /// Delay of each response under this fault.
     pub fn delay(self) -> Duration {
         match self {
             StoreFault::Slow { delay_ms } => Duration::from_millis(delay_ms),
--- a/crates/stacktack-standins/src/platform/mod.rs
+++ b/crates/stacktack-standins/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform: table service, object store, weight store,
-//! machine list, with faults that are switched over HTTP.
+//! Stand-in of the platform: table service, object store, weight store and machine list, with
+//! faults that are set over HTTP.
 
 pub mod faults;
 pub mod machines;
--- a/crates/stacktack-standins/src/platform/rate.rs
+++ b/crates/stacktack-standins/src/platform/rate.rs
@@ -2,12 +2,12 @@
 
 use stacktack_core::time::Time;
 
-/// A token bucket that holds at most one second's worth.
+/// A token bucket whose burst is the permits of one second.
 #[derive(Debug)]
 pub struct RateLimit {
     per_second: f64,
-    saved: f64,
-    at: Time,
+    permits: f64,
+    refilled_at: Time,
 }
 
 impl RateLimit {
@@ -15,20 +15,20 @@
     pub fn new(per_second: f64, now: Time) -> Self {
         RateLimit {
             per_second,
-            saved: per_second,
-            at: now,
+            permits: per_second,
+            refilled_at: now,
         }
     }
 
-    /// Takes an amount; false when the rate is used up.
-    pub fn take(&mut self, now: Time, amount: f64) -> bool {
-        let earned = now.since(self.at).as_secs_f64() * self.per_second;
-        self.saved = (self.saved + earned).min(self.per_second);
-        self.at = now;
-        if self.saved < amount {
+    /// Takes `amount` permits; returns false, and takes none, if there are fewer.
+    pub fn try_acquire(&mut self, now: Time, amount: f64) -> bool {
+        let refill = now.since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.permits = (self.permits + refill).min(self.per_second);
+        self.refilled_at = now;
+        if self.permits < amount {
             return false;
         }
-        self.saved -= amount;
+        self.permits -= amount;
         true
     }
 }
--- a/crates/stacktack-standins/src/platform/server.rs
+++ b/crates/stacktack-standins/src/platform/server.rs
@@ -22,26 +22,27 @@
 use super::rate::RateLimit;
 use super::table::Table;
 
-/// Largest body taken, in bytes.
-const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body to come.
+/// Time within which a request body must be received.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings of the platform stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// Writes a second, table and objects together.
+    /// Largest rate of writes per second, to the table and the object store together.
     pub writes_per_second: f64,
-    /// Reads a second.
+    /// Largest rate of reads per second, from the table and the object store together.
     pub reads_per_second: f64,
-    /// Bytes a second of the weight store.
+    /// Largest rate of reads from the weight store, in bytes per second.
     pub weight_bytes_per_second: f64,
-    /// Lag of the machine list.
+    /// Time after which a change becomes visible in the machine list.
     pub machine_lag: Duration,
 }
 
-/// What the stand-in counted, for observers.
+/// Numbers of operations on the table, and of operations on the table or the object store that a
+/// rate limit refused.
 #[derive(Debug, Serialize)]
 struct Observed {
     writes: u64,
@@ -49,14 +50,14 @@
     over_rate: u64,
 }
 
-/// Body of a weight store read.
+/// Body of a request to read from the weight store.
 #[derive(Debug, Deserialize)]
 struct WeightRead {
     bytes: f64,
 }
 
 struct State {
-    origin: Instant,
+    started_at: Instant,
     table: Table,
     objects: BTreeMap<String, Bytes>,
     machines: MachineList,
@@ -69,19 +70,19 @@
 
 impl State {
     fn now(&self) -> Time {
-        Time(self.origin.elapsed().as_micros() as u64)
+        Time(self.started_at.elapsed().as_micros() as u64)
     }
 
-    fn allowed(&mut self, write: bool) -> bool {
+    fn try_acquire(&mut self, is_write: bool) -> bool {
         let now = self.now();
-        let limit = if write {
+        let limit = if is_write {
             &mut self.writes
         } else {
             &mut self.reads
         };
-        let allowed = limit.take(now, 1.0);
-        self.over_rate += u64::from(!allowed);
-        allowed
+        let acquired = limit.try_acquire(now, 1.0);
+        self.over_rate += u64::from(!acquired);
+        acquired
     }
 }
 
@@ -92,7 +93,7 @@
 ) -> std::io::Result<()> {
     let now = Time::default();
     let state = Rc::new(RefCell::new(State {
-        origin: Instant::now(),
+        started_at: Instant::now(),
         table: Table::default(),
         objects: BTreeMap::new(),
         machines: MachineList::new(settings.machine_lag),
@@ -102,11 +103,14 @@
         weights: RateLimit::new(settings.weight_bytes_per_second, now),
         over_rate: 0,
     }));
-    serve(listener, move |request| answer(state.clone(), request)).await
+    serve(listener, move |request| {
+        handle_request(state.clone(), request)
+    })
+    .await
 }
 
-async fn answer(state: Rc<RefCell<State>>, mut request: Request) -> Response<BoxBody> {
-    let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
+async fn handle_request(state: Rc<RefCell<State>>, mut request: Request) -> Response<BoxBody> {
+    let body = match read_body(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(error) => return problem_reply(&error.problem()),
     };
@@ -128,16 +132,16 @@
             json_reply(StatusCode::OK, &machines)
         }
         (&Method::PUT, "machines") => register(&state, &body),
-        (&Method::DELETE, "machines") => leave(&state, rest),
+        (&Method::DELETE, "machines") => mark_leaving(&state, rest),
         (&Method::POST, "weights") => read_weights(&state, &body),
         (method, "table") | (method, "objects") => {
-            store(&state, method.clone(), service, rest, &body).await
+            access_store(&state, method.clone(), service, rest, &body).await
         }
         _ => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
     }
 }
 
-fn malformed(error: &serde_json::Error) -> Response<BoxBody> {
+fn malformed_body(error: &serde_json::Error) -> Response<BoxBody> {
     problem_reply(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
 }
 
@@ -147,7 +151,7 @@
             state.borrow_mut().fault = fault;
             json_reply(StatusCode::OK, &fault)
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_body(&error),
     }
 }
 
@@ -170,11 +174,11 @@
             state.machines.register(now, machine);
             json_reply(StatusCode::OK, &())
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_body(&error),
     }
 }
 
-fn leave(state: &Rc<RefCell<State>>, name: &str) -> Response<BoxBody> {
+fn mark_leaving(state: &Rc<RefCell<State>>, name: &str) -> Response<BoxBody> {
     let mut state = state.borrow_mut();
     let now = state.now();
     if state.machines.mark_leaving(now, name) {
@@ -187,11 +191,11 @@
 fn read_weights(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
     let read: WeightRead = match serde_json::from_slice(body) {
         Ok(read) => read,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let mut state = state.borrow_mut();
     let now = state.now();
-    if state.weights.take(now, read.bytes) {
+    if state.weights.try_acquire(now, read.bytes) {
         json_reply(StatusCode::OK, &())
     } else {
         overloaded("the weight store's rate is used up")
@@ -203,7 +207,7 @@
     problem_reply(&problem.retry_after(1_000))
 }
 
-async fn store(
+async fn access_store(
     state: &Rc<RefCell<State>>,
     method: Method,
     service: &str,
@@ -215,13 +219,13 @@
         let problem = Kind::StoreUnavailable.problem(Outcome::NotRun, "the store is down");
         return problem_reply(&problem.retry_after(1_000));
     }
-    if !state.borrow_mut().allowed(method == Method::PUT) {
+    if !state.borrow_mut().try_acquire(method == Method::PUT) {
         return overloaded("the store's rate is used up");
     }
     if !fault.delay().is_zero() {
         actix_rt::time::sleep(fault.delay()).await;
     }
-    let reply = match (service, &method) {
+    let response = match (service, &method) {
         ("table", &Method::GET) => get_row(state, key),
         ("table", &Method::PUT) => put_row(state, key, body),
         ("objects", &Method::GET) => get_object(state, key),
@@ -229,17 +233,17 @@
         _ => problem_reply(&Kind::MethodNotAllowed.problem(Outcome::NotRun, method.as_str())),
     };
     if fault == StoreFault::LoseReplies && method == Method::PUT {
-        return lost_reply();
+        return truncated_response();
     }
-    reply
+    response
 }
 
-/// A reply whose body breaks off: the client cannot tell what happened.
-fn lost_reply() -> Response<BoxBody> {
-    let (sender, parts) = body_channel();
+/// A response whose body breaks off, so that the client cannot tell whether its write took effect.
+fn truncated_response() -> Response<BoxBody> {
+    let (sender, receiver) = body_channel();
     drop(sender);
     Response::build(StatusCode::OK)
-        .message_body(BoxBody::new(ChannelBody::new(parts, || {})))
+        .message_body(BoxBody::new(ChannelBody::new(receiver, || {})))
         .unwrap_or_else(|_| Response::new(StatusCode::INTERNAL_SERVER_ERROR))
 }
 
@@ -256,7 +260,7 @@
 fn put_row(state: &Rc<RefCell<State>>, key: &str, body: &[u8]) -> Response<BoxBody> {
     let put: PutRow = match serde_json::from_slice(body) {
         Ok(put) => put,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let operation = TableOperation::Put {
         key: key.to_string(),
--- a/crates/stacktack-standins/src/platform/table.rs
+++ b/crates/stacktack-standins/src/platform/table.rs
@@ -1,20 +1,20 @@
-//! The transactional table: rows with versions and conditional writes.
+//! Transactional table: rows with versions and conditional writes.
 
 use std::collections::BTreeMap;
 
 use stacktack_core::ledger::{Row, RowVersion, TableOperation, TableReply};
 
-/// All rows.
+/// The rows by key, and the numbers of operations on them.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
-    next_version: u64,
+    last_version: u64,
     writes: u64,
     reads: u64,
 }
 
 impl Table {
-    /// Carries out an operation.
+    /// Carries out an operation and returns its reply.
     pub fn apply(&mut self, operation: &TableOperation) -> TableReply {
         match operation {
             TableOperation::Get { key } => {
@@ -29,19 +29,19 @@
         }
     }
 
-    /// Writes carried out or refused as conflicts, and reads.
+    /// Number of writes, conflicts included, and number of reads.
     pub fn operation_counts(&self) -> (u64, u64) {
         (self.writes, self.reads)
     }
 
     fn put(&mut self, key: &str, value: &str, expected: Option<RowVersion>) -> TableReply {
         self.writes += 1;
-        let held = self.rows.get(key);
-        if held.map(|row| row.version) != expected {
-            return TableReply::Conflict(held.cloned());
+        let current = self.rows.get(key);
+        if current.map(|row| row.version) != expected {
+            return TableReply::Conflict(current.cloned());
         }
-        self.next_version += 1;
-        let version = RowVersion(self.next_version);
+        self.last_version += 1;
+        let version = RowVersion(self.last_version);
         let row = Row {
             version,
             value: value.to_string(),
--- a/crates/stacktack-standins/src/service.rs
+++ b/crates/stacktack-standins/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a plain service, some of whose calls may not be repeated. It
-//! counts what it really ran by idempotency key and by attempt.
+//! Stand-in of a plain service, some of whose calls must not run twice. It counts the calls that
+//! really ran, by idempotency key and by attempt.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,25 +13,25 @@
 
 use crate::response::service_response;
 
-/// Largest body taken, in bytes.
-const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body to come.
+/// Time within which a request body must be received.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What independent observers read.
+/// Counts of the calls that ran, for checks.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Observed {
-    /// Calls that ran.
+    /// Number of calls that ran.
     pub calls: u64,
-    /// Calls that ran by idempotency key.
+    /// Number of runs by idempotency key.
     pub by_key: BTreeMap<String, u32>,
-    /// Calls that ran by attempt.
+    /// Number of runs by attempt.
     pub by_attempt: BTreeMap<String, u32>,
 }
 
 impl Observed {
-    /// Counts a call.
+    /// Counts a call, also under its idempotency key and its attempt where these are given.
     pub fn count_call(&mut self, key: Option<&str>, attempt: Option<&str>) {
         self.calls += 1;
         if let Some(key) = key {
@@ -43,16 +43,16 @@
     }
 }
 
-/// Serves on the current thread; each call takes `duration`.
+/// Serves calls on the current thread; each call takes `duration`.
 pub async fn run(listener: std::net::TcpListener, duration: Duration) -> std::io::Result<()> {
     let observed = Rc::new(RefCell::new(Observed::default()));
     serve(listener, move |request| {
-        answer(observed.clone(), duration, request)
+        handle_request(observed.clone(), duration, request)
     })
     .await
 }
 
-async fn answer(
+async fn handle_request(
     observed: Rc<RefCell<Observed>>,
     duration: Duration,
     mut request: Request,
@@ -60,7 +60,7 @@
     if request.method() == Method::GET && request.path() == "/observed" {
         return json_reply(StatusCode::OK, &*observed.borrow());
     }
-    let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
+    let body = match read_body(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
         Err(error) => return problem_reply(&error.problem()),
     };
--- a/crates/stacktack-standins/tests/engine.rs
+++ b/crates/stacktack-standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in honours what the platform's description says of engines.
+//! The engine stand-in behaves as the description of the platform says of engines.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use stacktack_standins::engine::orders::{Order, OrderAction, OrderState};
 use stacktack_wire::message::{Priority, Usage};
 
-const LONG: Time = Time(3_600_000_000);
+const ONE_HOUR: Time = Time(3_600_000_000);
 
 fn job(id: &str, prompt: std::ops::Range<u64>, priority: Priority) -> Job {
     Job {
@@ -20,7 +20,7 @@
 }
 
 fn run_all(engine: &mut EngineModel) -> Vec<(String, Usage)> {
-    let events = engine.advance(LONG);
+    let events = engine.advance(ONE_HOUR);
     events
         .into_iter()
         .filter_map(|event| match event {
@@ -33,7 +33,7 @@
 #[test]
 fn sequences_are_batched_and_the_rest_waits_by_priority() {
     let mut engine = EngineModel::new(EngineSettings {
-        batch: 1,
+        max_batch: 1,
         ..EngineSettings::default()
     });
     for (id, priority) in [
@@ -43,7 +43,7 @@
     ] {
         engine
             .submit(Time(0), job(id, 0..20, priority))
-            .expect("taken");
+            .expect("accepted");
     }
     let order: Vec<String> = run_all(&mut engine).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order, ["a", "c", "b"]);
@@ -57,12 +57,12 @@
     });
     engine
         .submit(Time(0), job("a", 0..64, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     run_all(&mut engine);
     engine
-        .submit(LONG, job("b", 0..64, Priority::Normal))
-        .expect("taken");
-    let later = LONG + Duration::from_secs(60);
+        .submit(ONE_HOUR, job("b", 0..64, Priority::Normal))
+        .expect("accepted");
+    let later = ONE_HOUR + Duration::from_secs(60);
     let usage = engine
         .advance(later)
         .into_iter()
@@ -73,9 +73,9 @@
     assert_eq!(usage.map(|usage| usage.cached_tokens), Some(63));
     engine
         .submit(later, job("c", 1_000..1_200, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     engine.advance(later + Duration::from_secs(60));
-    assert!(engine.cached_blocks() <= 8);
+    assert!(engine.cached_block_count() <= 8);
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let mut engine = EngineModel::new(EngineSettings::default());
     engine
         .submit(Time(0), job("a", 0..64, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     assert!(engine.cancel(Time(1), "a"));
     assert!(!engine.cancel(Time(1), "a"));
     assert!(run_all(&mut engine).is_empty());
@@ -96,7 +96,7 @@
     let mut first = EngineModel::new(EngineSettings::default());
     first
         .submit(Time(0), job("a", 0..64, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     run_all(&mut first);
     let (export, export_time) = first.export(&prompt);
     assert_eq!(export.blocks.len(), 64 / BLOCK_TOKENS);
@@ -105,7 +105,7 @@
     assert!(second.import(Time(0), &export) > Duration::ZERO);
     second
         .submit(Time(0), job("b", 0..64, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     let done = run_all(&mut second);
     assert_eq!(done[0].1.cached_tokens, 63);
 }
@@ -117,13 +117,13 @@
         events: EventSettings {
             delay,
             lose_every: 3,
-            kept: 100,
+            max_retained: 100,
         },
         ..EngineSettings::default()
     });
     engine
         .submit(Time(0), job("a", 0..160, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     let stored_at = Time(1_000_000);
     engine.advance(stored_at);
     assert!(engine.cache_events(Time(0), 0).is_empty());
@@ -140,9 +140,9 @@
     let mut engine = EngineModel::new(EngineSettings::default());
     engine
         .submit(Time(1_000), job("a", 0..64, Priority::Normal))
-        .expect("taken");
+        .expect("accepted");
     assert_eq!(engine.reported_load(Time(2_000)).tokens, 0);
-    assert!(engine.true_load().tokens > 0);
+    assert!(engine.current_load().tokens > 0);
     assert!(
         engine
             .reported_load(Time(1_000) + Duration::from_millis(500))
@@ -160,15 +160,15 @@
             artifact: format!("model-{epoch}"),
         },
     };
-    let mut checks = OrderState {
+    let mut checking = OrderState {
         checks_fence: true,
         ..OrderState::default()
     };
-    checks.apply(order(2)).expect("followed");
-    checks.apply(order(1)).expect_err("refused");
-    let mut trusting = OrderState::default();
-    trusting.apply(order(2)).expect("followed");
-    trusting
+    checking.apply(order(2)).expect("applied");
+    checking.apply(order(1)).expect_err("refused");
+    let mut unchecked = OrderState::default();
+    unchecked.apply(order(2)).expect("applied");
+    unchecked
         .apply(order(1))
-        .expect("followed, since nothing checks");
+        .expect("applied, since fences are not checked");
 }
--- a/crates/stacktack-standins/tests/platform.rs
+++ b/crates/stacktack-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in honours what the platform's description says.
+//! The platform stand-in behaves as the description of the platform says.
 
 use std::time::Duration;
 
@@ -23,13 +23,13 @@
 fn writes_are_conditional_on_the_rows_version() {
     let mut table = Table::default();
     let TableReply::Written(first) = table.apply(&put("a", None)) else {
-        panic!("the first write is taken");
+        panic!("the first write takes effect");
     };
     assert!(
         matches!(table.apply(&put("b", None)), TableReply::Conflict(Some(row)) if row.value == "a")
     );
     let TableReply::Written(second) = table.apply(&put("c", Some(first))) else {
-        panic!("a write on the version held is taken");
+        panic!("a write that expects the current version takes effect");
     };
     assert!(second > first);
     assert!(matches!(
@@ -42,10 +42,10 @@
 #[test]
 fn a_rate_holds_over_time() {
     let mut limit = RateLimit::new(10.0, Time(0));
-    let taken = (0..20).filter(|_| limit.take(Time(0), 1.0)).count();
-    assert_eq!(taken, 10);
-    assert!(!limit.take(Time(50_000), 1.0));
-    assert!(limit.take(Time(100_000), 1.0));
+    let acquired = (0..20).filter(|_| limit.try_acquire(Time(0), 1.0)).count();
+    assert_eq!(acquired, 10);
+    assert!(!limit.try_acquire(Time(50_000), 1.0));
+    assert!(limit.try_acquire(Time(100_000), 1.0));
 }
 
 fn machine(name: &str) -> Machine {
--- a/crates/stacktack-standins/tests/settings.rs
+++ b/crates/stacktack-standins/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `stacktack-engine-standin`: faults are reported together, with exit code 2.
+//! Settings of `stacktack-engine-standin`: errors are reported together, with exit code 2.
 
 use std::process::{Command, Output};
 
