--- a/crates/stacktack-agent/src/operator.rs
+++ b/crates/stacktack-agent/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' address of an agent.
+//! The operator endpoint of an agent: health, status, metrics, configuration and
+//! draining over HTTP.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,17 +9,17 @@
 use opentelemetry::metrics::Meter;
 use serde::Serialize;
 use stacktack_core::gate::GateCounters;
-use stacktack_core::problem::{Kind, Outcome};
+use stacktack_core::problem::{Outcome, ProblemKind};
 use stacktack_node::control::{
-    hand_out_configuration, take_changes, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
+    receive_changes, serve_configuration, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
 };
-use stacktack_node::http::{json_reply, problem_reply, text_reply};
+use stacktack_node::http::{json_response, problem_response, text_response};
 use stacktack_node::metrics::Metrics;
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::shared::{TrafficCommand, TrafficState};
 
-/// What an agent says of itself.
+/// Response body of `GET /status`.
 #[derive(Debug, Serialize)]
 struct Status {
     name: String,
@@ -38,53 +39,53 @@
     cached_tokens: u64,
 }
 
-/// Answers operators' calls.
-pub struct Operator {
+/// Handles operators' HTTP requests.
+pub struct OperatorEndpoint {
     /// Name of the agent.
     pub name: String,
-    /// Its zone.
+    /// Zone of the agent.
     pub zone: String,
-    /// State of the traffic thread.
+    /// State that the traffic thread publishes.
     pub state: Arc<TrafficState>,
-    /// Commands to the traffic thread.
+    /// Sends commands to the traffic thread.
     pub commands: UnboundedSender<TrafficCommand>,
-    /// The control state.
+    /// Handle to the control state.
     pub control: ControlHandle,
-    /// Metrics.
+    /// Metrics rendered at `/metrics`.
     pub metrics: Metrics,
 }
 
-impl Operator {
-    /// Answers one call.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response<BoxBody> {
+impl OperatorEndpoint {
+    /// Responds to one operator request.
+    pub async fn respond(self: Rc<Self>, request: Request) -> Response<BoxBody> {
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
-            return take_changes(&self.control, request).await;
+            return receive_changes(&self.control, request).await;
         }
         match (request.method(), request.path()) {
-            (&Method::GET, CONFIGURATION_PATH) => hand_out_configuration(&self.control),
-            (&Method::GET, "/healthz") => text_reply(StatusCode::OK, String::from("ok\n")),
+            (&Method::GET, CONFIGURATION_PATH) => serve_configuration(&self.control),
+            (&Method::GET, "/healthz") => text_response(StatusCode::OK, String::from("ok\n")),
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => match self.metrics.render() {
-                Ok(text) => text_reply(StatusCode::OK, text),
-                Err(error) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+                Ok(text) => text_response(StatusCode::OK, text),
+                Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
             },
-            (&Method::GET, "/status") => json_reply(StatusCode::OK, &self.status()),
+            (&Method::GET, "/status") => json_response(StatusCode::OK, &self.status()),
             (&Method::POST, "/drain") => self.drain(true),
             (&Method::POST, "/undrain") => self.drain(false),
-            (_, path) => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+            (_, path) => problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, path)),
         }
     }
 
     fn readiness(&self) -> Response<BoxBody> {
         if self.state.version() == 0 || self.state.draining() {
-            text_reply(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
         } else {
-            text_reply(StatusCode::OK, String::from("ready\n"))
+            text_response(StatusCode::OK, String::from("ready\n"))
         }
     }
 
     fn status(&self) -> Status {
-        let (sent, received) = self.control.with(|control| control.bytes());
+        let (sent, received) = self.control.with(|control| control.byte_totals());
         let GateCounters {
             started,
             refused,
@@ -115,19 +116,21 @@
 
     fn drain(&self, draining: bool) -> Response<BoxBody> {
         if self.commands.send(TrafficCommand::Drain(draining)).is_err() {
-            let problem = Kind::NotReady.problem(Outcome::NotRun, "the traffic thread is gone");
-            return problem_reply(&problem);
+            let problem =
+                ProblemKind::NotReady.problem(Outcome::NotRun, "the traffic thread is gone");
+            return problem_response(&problem);
         }
         log::info!(target: "operator", "draining is set to {draining}");
-        json_reply(StatusCode::OK, &draining)
+        json_response(StatusCode::OK, &draining)
     }
 }
 
-type Count = fn(&GateCounters) -> u64;
+/// Selects the value of one metric.
+type CounterReader = fn(&GateCounters) -> u64;
 
-/// Instruments read from the traffic thread's state.
+/// Registers the agent's metrics, which read the state that the traffic thread publishes.
 pub fn register_metrics(meter: &Meter, state: &Arc<TrafficState>) {
-    let counters: [(&'static str, &'static str, Count); 7] = [
+    let counters: [(&'static str, &'static str, CounterReader); 7] = [
         (
             "agent_attempts_started",
             "attempts sent to the back end",
--- a/crates/stacktack-core/src/configuration/validation.rs
+++ b/crates/stacktack-core/src/configuration/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of a document as a whole: every fault is reported at once.
+//! Validation of configuration documents, which reports all invalid fields at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,18 +9,18 @@
 use super::document::{BackEnd, BackEndKind, Document};
 use super::selector::Requirement;
 
-/// One fault of a document.
+/// An invalid field of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// Path of the field, such as `back_end.engine-1.capacity`.
+pub struct InvalidField {
+    /// Path of the field, for example `back_end.engine-1.capacity`.
     pub field: String,
-    /// The value given.
+    /// Value in the document.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for InvalidField {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -30,62 +30,62 @@
     }
 }
 
-/// A document is not acceptable.
+/// Why a document is not accepted.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// The text is no document.
-    #[error("configuration does not parse: {0}")]
+    /// The text is not a TOML document of the expected structure.
+    #[error("cannot parse configuration: {0}")]
     Parse(#[from] toml::de::Error),
-    /// Fields are out of range, dangling or doubled.
-    #[error("configuration has {} fault(s): {}", .0.len(), join(.0))]
-    Faults(Vec<Fault>),
+    /// Fields are out of range, refer to missing entries, or are not unique.
+    #[error("configuration has {} invalid field(s): {}", .0.len(), join(.0))]
+    InvalidFields(Vec<InvalidField>),
 }
 
-fn join(faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn join(errors: &[InvalidField]) -> String {
+    let lines: Vec<String> = errors.iter().map(InvalidField::to_string).collect();
     lines.join("; ")
 }
 
 /// Parses and validates a document.
 pub fn parse(text: &str) -> Result<Document, DocumentError> {
     let document: Document = toml::from_str(text)?;
-    let faults = validate(&document);
-    if faults.is_empty() {
+    let errors = validate(&document);
+    if errors.is_empty() {
         Ok(document)
     } else {
-        Err(DocumentError::Faults(faults))
+        Err(DocumentError::InvalidFields(errors))
     }
 }
 
-/// All faults of a document.
-pub fn validate(document: &Document) -> Vec<Fault> {
-    let mut checker = Checker::default();
-    checker.check_limits(document);
-    checker.check_names(document);
+/// Returns all invalid fields of a document.
+pub fn validate(document: &Document) -> Vec<InvalidField> {
+    let mut validator = Validator::default();
+    validator.check_limits(document);
+    validator.check_names(document);
     for back_end in &document.back_ends {
-        checker.check_back_end(document, back_end);
+        validator.check_back_end(document, back_end);
     }
-    checker.check_adapters(document);
-    checker.check_tenants(document);
-    checker.check_selectors(document);
-    checker.faults
+    validator.check_adapters(document);
+    validator.check_tenants(document);
+    validator.check_selectors(document);
+    validator.errors
 }
 
 #[derive(Default)]
-struct Checker {
-    faults: Vec<Fault>,
+struct Validator {
+    errors: Vec<InvalidField>,
 }
 
-impl Checker {
-    fn report(&mut self, field: String, value: impl fmt::Display, allowed: &str) {
-        self.faults.push(Fault {
+impl Validator {
+    fn reject(&mut self, field: String, value: impl fmt::Display, allowed: &str) {
+        self.errors.push(InvalidField {
             field,
             value: value.to_string(),
             allowed: allowed.to_string(),
         });
     }
 
-    fn range<T: PartialOrd + fmt::Display + Copy>(
+    fn check_range<T: PartialOrd + fmt::Display + Copy>(
         &mut self,
         field: String,
         value: T,
@@ -93,57 +93,57 @@
         high: T,
     ) {
         if !(value >= low && value <= high) {
-            self.report(field, value, &format!("allowed is {low} to {high}"));
+            self.reject(field, value, &format!("allowed is {low} to {high}"));
         }
     }
 
     fn check_limits(&mut self, document: &Document) {
         let limits = &document.limits;
-        self.range("limits.load_cap".into(), limits.load_cap, 1.05, 10.0);
-        self.range("limits.queue_length".into(), limits.queue_length, 0, 10_000);
-        self.range("limits.body_bytes".into(), limits.body_bytes, 1, 8_388_608);
-        self.range("limits.offers".into(), limits.offers, 1, 10);
-        self.range("limits.silence_ms".into(), limits.silence_ms, 100, 60_000);
-        self.range("limits.fate_seconds".into(), limits.fate_seconds, 10, 3_600);
+        self.check_range("limits.load_cap".into(), limits.load_cap, 1.05, 10.0);
+        self.check_range("limits.queue_length".into(), limits.queue_length, 0, 10_000);
+        self.check_range("limits.body_bytes".into(), limits.body_bytes, 1, 8_388_608);
+        self.check_range("limits.offers".into(), limits.offers, 1, 10);
+        self.check_range("limits.silence_ms".into(), limits.silence_ms, 100, 60_000);
+        self.check_range("limits.fate_seconds".into(), limits.fate_seconds, 10, 3_600);
     }
 
     fn check_names(&mut self, document: &Document) {
         let back_ends = document.back_ends.iter().map(|entry| entry.name.as_str());
-        self.unique("back_end", back_ends.clone());
-        self.distinct_identifiers("back_end", back_ends, |name| u64::from(NodeId::of(name).0));
+        self.check_unique("back_end", back_ends.clone());
+        self.check_distinct_ids("back_end", back_ends, |name| u64::from(NodeId::of(name).0));
         let tenants = document.tenants.iter().map(|entry| entry.name.as_str());
-        self.unique("tenant", tenants.clone());
-        self.distinct_identifiers("tenant", tenants, |name| u64::from(TenantId::of(name).0));
+        self.check_unique("tenant", tenants.clone());
+        self.check_distinct_ids("tenant", tenants, |name| u64::from(TenantId::of(name).0));
         let models = document.models.iter().map(|entry| entry.name.as_str());
         let adapters = document.adapters.iter().map(|entry| entry.name.as_str());
-        self.unique("model", models.chain(adapters));
-        self.unique(
+        self.check_unique("model", models.chain(adapters));
+        self.check_unique(
             "service",
             document.services.iter().map(|entry| entry.name.as_str()),
         );
-        self.unique(
+        self.check_unique(
             "selector",
             document.selectors.iter().map(|entry| entry.name.as_str()),
         );
     }
 
-    fn unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
+    fn check_unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen = BTreeSet::new();
         for name in names {
             if name.is_empty() {
-                self.report(
+                self.reject(
                     format!("{kind}.name"),
                     "\"\"",
                     "allowed is a non-empty name",
                 );
             }
             if !seen.insert(name) {
-                self.report(format!("{kind}.name"), name, "allowed is each name once");
+                self.reject(format!("{kind}.name"), name, "allowed is each name once");
             }
         }
     }
 
-    fn distinct_identifiers<'a>(
+    fn check_distinct_ids<'a>(
         &mut self,
         kind: &str,
         names: impl Iterator<Item = &'a str>,
@@ -155,31 +155,31 @@
             if let Some(earlier) = earlier.filter(|earlier| *earlier != name) {
                 let allowed =
                     format!("its identifier is that of {earlier}; allowed is another name");
-                self.report(format!("{kind}.name"), name, &allowed);
+                self.reject(format!("{kind}.name"), name, &allowed);
             }
         }
     }
 
     fn check_back_end(&mut self, document: &Document, back_end: &BackEnd) {
         let field = |name: &str| format!("back_end.{}.{name}", back_end.name);
-        self.range(field("capacity"), back_end.capacity, 0.001, 1_000.0);
-        self.range(field("concurrency"), back_end.concurrency, 1, 10_000);
+        self.check_range(field("capacity"), back_end.capacity, 0.001, 1_000.0);
+        self.check_range(field("concurrency"), back_end.concurrency, 1, 10_000);
         for model in &back_end.models {
             if !document.models.iter().any(|entry| &entry.name == model) {
-                self.report(field("models"), model, "allowed is a configured model");
+                self.reject(field("models"), model, "allowed is a configured model");
             }
         }
         match (back_end.kind, &back_end.service) {
             (BackEndKind::Engine, None) => {}
             (BackEndKind::Engine, Some(service)) => {
-                self.report(
+                self.reject(
                     field("service"),
                     service,
                     "allowed only where kind is service",
                 );
             }
             (BackEndKind::Service, None) => {
-                self.report(
+                self.reject(
                     field("service"),
                     "absent",
                     "allowed is a configured service",
@@ -187,7 +187,7 @@
             }
             (BackEndKind::Service, Some(service)) => {
                 if !document.services.iter().any(|entry| &entry.name == service) {
-                    self.report(field("service"), service, "allowed is a configured service");
+                    self.reject(field("service"), service, "allowed is a configured service");
                 }
             }
         }
@@ -201,7 +201,7 @@
                 .any(|entry| entry.name == adapter.model)
             {
                 let field = format!("adapter.{}.model", adapter.name);
-                self.report(field, &adapter.model, "allowed is a configured model");
+                self.reject(field, &adapter.model, "allowed is a configured model");
             }
         }
     }
@@ -210,18 +210,18 @@
         let mut owners: BTreeMap<String, &str> = BTreeMap::new();
         for tenant in &document.tenants {
             let field = |name: &str| format!("tenant.{}.{name}", tenant.name);
-            self.range(field("weight"), tenant.weight, 0.001, 1_000.0);
+            self.check_range(field("weight"), tenant.weight, 0.001, 1_000.0);
             let concurrency = tenant.concurrency_per_back_end;
-            self.range(field("concurrency_per_back_end"), concurrency, 1, 10_000);
+            self.check_range(field("concurrency_per_back_end"), concurrency, 1, 10_000);
             for hash in &tenant.key_hashes {
                 let hexadecimal = hash.chars().all(|digit| digit.is_ascii_hexdigit());
                 if hash.len() != 64 || !hexadecimal {
                     let allowed = "allowed is a SHA-256 of 64 hexadecimal digits";
-                    self.report(field("key_hashes"), hash, allowed);
+                    self.reject(field("key_hashes"), hash, allowed);
                 }
                 let owner = owners.insert(hash.to_ascii_lowercase(), &tenant.name);
                 if owner.is_some() {
-                    self.report(field("key_hashes"), hash, "allowed is each key once");
+                    self.reject(field("key_hashes"), hash, "allowed is each key once");
                 }
             }
         }
@@ -246,7 +246,7 @@
             if requirement.test_count() != 1 {
                 let allowed =
                     "allowed is exactly one of equals, not_equals, in, not_in, exists for a key";
-                self.report(
+                self.reject(
                     format!("{field}.{}", requirement.key),
                     requirement.test_count(),
                     allowed,
--- a/crates/stacktack-core/src/gate/messages.rs
+++ b/crates/stacktack-core/src/gate/messages.rs
@@ -1,16 +1,16 @@
-//! What routers ask of a gate: offers, cancels, fates, resumption.
+//! Handling of messages from routers: offers, cancels, fate queries, resumption.
 
 use std::time::Duration;
 
 use stacktack_wire::identity::{AttemptId, Incarnation};
 use stacktack_wire::message::{Failure, Fate, Offer, Payload, Refusal, ToAgent, ToRouter};
 
-use super::admission::Verdict;
-use super::attempt::{Entry, Event, State};
+use super::admission::AdmissionDecision;
+use super::attempt::{AttemptEntry, Event, State};
 use super::report::{data_message, finished_message, head_message};
 use super::{ConnectionId, Gate, GateOutput};
 use crate::configuration::change::{encode, Change};
-use crate::protection::Rule;
+use crate::protection::Protection;
 use crate::time::Time;
 
 impl Gate {
@@ -51,19 +51,19 @@
             return;
         }
         self.attempts
-            .insert(attempt, Entry::new(State::New, connection));
-        match self.admit(now, &offer) {
-            Verdict::Refuse {
+            .insert(attempt, AttemptEntry::new(State::New, connection));
+        match self.decide_admission(now, &offer) {
+            AdmissionDecision::Refuse {
                 refusal,
                 retry_after_ms,
             } => {
-                self.note_refusal(attempt, refusal, retry_after_ms);
+                self.record_refusal(attempt, refusal, retry_after_ms);
                 self.step(now, attempt, Event::Refuse, outputs);
                 self.attach_changes(refusal, offer.version, outputs);
             }
-            Verdict::Queue => {
-                self.take_in(now, offer);
-                let event = if self.has_free_place() {
+            AdmissionDecision::Admit => {
+                self.record_admission(now, offer);
+                let event = if self.has_free_slot() {
                     Event::Start
                 } else {
                     Event::Queue
@@ -73,7 +73,7 @@
         }
     }
 
-    pub(super) fn take_in(&mut self, now: Time, offer: Box<Offer>) {
+    pub(super) fn record_admission(&mut self, now: Time, offer: Box<Offer>) {
         let work = self.work_of(&offer);
         let Some(entry) = self.attempts.get_mut(&offer.attempt) else {
             return;
@@ -83,14 +83,14 @@
         entry.chat = offer.chat;
         entry.deadline = offer
             .deadline_ms
-            .map(|left| now + Duration::from_millis(u64::from(left)));
+            .map(|remaining| now + Duration::from_millis(u64::from(remaining)));
         entry.cancellable = matches!(offer.payload, Payload::Chat { .. });
         *self.tenant_counts.entry(offer.tenant).or_insert(0) += 1;
         entry.offer = Some(offer);
         self.load.add(work);
     }
 
-    pub(super) fn note_refusal(
+    pub(super) fn record_refusal(
         &mut self,
         attempt: AttemptId,
         refusal: Refusal,
@@ -105,7 +105,7 @@
     pub(super) fn attach_changes(
         &self,
         refusal: Refusal,
-        stale: stacktack_wire::identity::ConfigurationVersion,
+        router_version: stacktack_wire::identity::ConfigurationVersion,
         outputs: &mut [GateOutput],
     ) {
         if refusal != Refusal::StaleConfiguration {
@@ -114,12 +114,12 @@
         let missing: Vec<Change> = self
             .changes
             .iter()
-            .filter(|change| change.version > stale)
+            .filter(|change| change.version > router_version)
             .cloned()
             .collect();
         let complete = missing
             .first()
-            .is_some_and(|change| change.version.0 == stale.0 + 1);
+            .is_some_and(|change| change.version.0 == router_version.0 + 1);
         if let Some(GateOutput::ToRouter {
             message: ToRouter::Refused { changes, .. },
             ..
@@ -132,7 +132,7 @@
     pub(super) fn ensure_entry(&mut self, attempt: AttemptId, connection: ConnectionId) {
         self.attempts
             .entry(attempt)
-            .or_insert_with(|| Entry::new(State::New, connection));
+            .or_insert_with(|| AttemptEntry::new(State::New, connection));
     }
 
     pub(super) fn on_ask_fate(
@@ -144,16 +144,16 @@
         outputs: &mut Vec<GateOutput>,
     ) {
         let seen = self.attempts.contains_key(&attempt);
-        let known = if seen {
+        let immediate = if seen {
             None
         } else if incarnation != self.incarnation {
             Some(Fate::Unknown)
-        } else if !self.protections.hold(Rule::Tombstone) {
+        } else if !self.protections.is_enabled(Protection::Tombstone) {
             Some(Fate::NotRun)
         } else {
             None
         };
-        if let Some(fate) = known {
+        if let Some(fate) = immediate {
             outputs.push(GateOutput::ToRouter {
                 connection,
                 message: ToRouter::FateOf { attempt, fate },
@@ -188,12 +188,12 @@
                 message,
             })
         };
-        let Some(pieces) = entry.answer.pieces_from(offset) else {
+        let Some(pieces) = entry.response.pieces_from(offset) else {
             let failure = Failure::BackendBroken;
             send(ToRouter::Failed { attempt, failure });
             return;
         };
-        if let Some(head) = &entry.answer.head {
+        if let Some(head) = &entry.response.head {
             send(head_message(attempt, head));
         }
         for (index, piece) in pieces.iter().enumerate() {
--- a/crates/stacktack-core/src/gate/transition.rs
+++ b/crates/stacktack-core/src/gate/transition.rs
@@ -1,21 +1,21 @@
-//! One step of an attempt by its state chart, and the actions that follow.
+//! Transitions of attempts by the state chart, and the actions that follow.
 
 use stacktack_wire::identity::AttemptId;
 use stacktack_wire::message::Failure;
 
 use super::attempt::{Action, Event, State};
-use super::queue::Waiting;
+use super::queue::QueuedAttempt;
 use super::{Gate, GateOutput};
 use crate::time::Time;
 
 impl Gate {
-    /// Starts waiting attempts while places are free.
-    pub(super) fn fill(&mut self, now: Time, outputs: &mut Vec<GateOutput>) {
+    /// Starts queued attempts while the back end has free slots.
+    pub(super) fn start_queued(&mut self, now: Time, outputs: &mut Vec<GateOutput>) {
         while self.running < self.concurrency() {
-            let Some(waiting) = self.queue.pop() else {
+            let Some(queued) = self.queue.pop() else {
                 break;
             };
-            self.step(now, waiting.attempt, Event::Start, outputs);
+            self.step(now, queued.attempt, Event::Start, outputs);
         }
     }
 
@@ -81,8 +81,12 @@
             .tenant(tenant)
             .map_or(1.0, |tenant| tenant.weight);
         let work = entry.work;
-        self.queue
-            .push(tenant, weight, offer.priority, Waiting { attempt, work });
+        self.queue.push(
+            tenant,
+            weight,
+            offer.priority,
+            QueuedAttempt { attempt, work },
+        );
     }
 
     pub(super) fn start_backend(&mut self, attempt: AttemptId, outputs: &mut Vec<GateOutput>) {
--- a/crates/stacktack-router/src/operator.rs
+++ b/crates/stacktack-router/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' address of a router.
+//! The operator endpoint of a router: health, status, metrics, configuration and
+//! decision records over HTTP.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,21 +10,21 @@
 use serde::Serialize;
 use stacktack_core::dispatch::record::RequestRecord;
 use stacktack_core::dispatch::DispatchCounters;
-use stacktack_core::problem::{Kind, Outcome};
+use stacktack_core::problem::{Outcome, ProblemKind};
 use stacktack_node::control::{
-    hand_out_configuration, take_changes, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
+    receive_changes, serve_configuration, ControlHandle, CHANGES_PATH, CONFIGURATION_PATH,
 };
-use stacktack_node::http::{json_reply, problem_reply, text_reply};
+use stacktack_node::http::{json_response, problem_response, text_response};
 use stacktack_node::metrics::Metrics;
 use stacktack_wire::identity::RequestId;
 use tokio::sync::oneshot;
 
-use crate::shared::{Shared, WorkerCommand};
+use crate::shared::{SharedState, WorkerCommand};
 
-/// Prefix of the path of a decision's record.
-const DECISION_PREFIX: &str = "/decisions/";
+/// Path prefix of decision records; the request id follows.
+const DECISION_PATH_PREFIX: &str = "/decisions/";
 
-/// What a router says of itself.
+/// Response body of `GET /status`.
 #[derive(Debug, Serialize)]
 struct Status {
     name: String,
@@ -43,7 +44,7 @@
     retries: u64,
 }
 
-/// An agent as the router sees it.
+/// An agent as this router sees it.
 #[derive(Debug, Serialize)]
 struct AgentStatus {
     name: String,
@@ -52,51 +53,51 @@
     load: Option<f64>,
 }
 
-/// Answers operators' calls.
-pub struct Operator {
-    /// The router's zone.
+/// Handles operators' HTTP requests.
+pub struct OperatorEndpoint {
+    /// Zone of the router.
     pub zone: String,
     /// State shared with the traffic threads.
-    pub shared: Arc<Shared>,
-    /// The control state.
+    pub shared: Arc<SharedState>,
+    /// Handle to the control state.
     pub control: ControlHandle,
-    /// Metrics.
+    /// Metrics rendered at `/metrics`.
     pub metrics: Metrics,
 }
 
-impl Operator {
-    /// Answers one call.
-    pub async fn answer(self: Rc<Self>, request: Request) -> Response<BoxBody> {
-        if let Some(id) = request.path().strip_prefix(DECISION_PREFIX) {
+impl OperatorEndpoint {
+    /// Responds to one operator request.
+    pub async fn respond(self: Rc<Self>, request: Request) -> Response<BoxBody> {
+        if let Some(id) = request.path().strip_prefix(DECISION_PATH_PREFIX) {
             return self.explain(id).await;
         }
         if (request.method(), request.path()) == (&Method::POST, CHANGES_PATH) {
-            return take_changes(&self.control, request).await;
+            return receive_changes(&self.control, request).await;
         }
         match (request.method(), request.path()) {
-            (&Method::GET, CONFIGURATION_PATH) => hand_out_configuration(&self.control),
-            (&Method::GET, "/healthz") => text_reply(StatusCode::OK, String::from("ok\n")),
+            (&Method::GET, CONFIGURATION_PATH) => serve_configuration(&self.control),
+            (&Method::GET, "/healthz") => text_response(StatusCode::OK, String::from("ok\n")),
             (&Method::GET, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => match self.metrics.render() {
-                Ok(text) => text_reply(StatusCode::OK, text),
-                Err(error) => text_reply(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+                Ok(text) => text_response(StatusCode::OK, text),
+                Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
             },
-            (&Method::GET, "/status") => json_reply(StatusCode::OK, &self.status()),
-            (_, path) => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+            (&Method::GET, "/status") => json_response(StatusCode::OK, &self.status()),
+            (_, path) => problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, path)),
         }
     }
 
     fn readiness(&self) -> Response<BoxBody> {
         let version = self.shared.view.load().configuration.version;
         if version.0 == 0 || self.shared.is_stopping() {
-            text_reply(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
+            text_response(StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n"))
         } else {
-            text_reply(StatusCode::OK, String::from("ready\n"))
+            text_response(StatusCode::OK, String::from("ready\n"))
         }
     }
 
     fn status(&self) -> Status {
-        let (sent, received) = self.control.with(|control| control.bytes());
+        let (sent, received) = self.control.with(|control| control.byte_totals());
         let view = self.shared.view.load();
         let agents = view
             .agents
@@ -130,15 +131,16 @@
 
     async fn explain(&self, text: &str) -> Response<BoxBody> {
         let Ok(id) = text.parse::<RequestId>() else {
-            let problem = Kind::UnknownPath.problem(Outcome::NotRun, "this is no decision id");
-            return problem_reply(&problem);
+            let problem =
+                ProblemKind::UnknownPath.problem(Outcome::NotRun, "this is no decision id");
+            return problem_response(&problem);
         };
         match self.find_record(id).await {
-            Some(record) => json_reply(StatusCode::OK, &record),
+            Some(record) => json_response(StatusCode::OK, &record),
             None => {
                 let problem =
-                    Kind::UnknownPath.problem(Outcome::NotRun, "no record of this decision");
-                problem_reply(&problem)
+                    ProblemKind::UnknownPath.problem(Outcome::NotRun, "no record of this decision");
+                problem_response(&problem)
             }
         }
     }
@@ -157,11 +159,12 @@
     }
 }
 
-type Count = fn(&DispatchCounters) -> u64;
+/// Selects the value of one metric.
+type CounterReader = fn(&DispatchCounters) -> u64;
 
-/// Instruments read from the traffic threads' counts.
-pub fn register_metrics(meter: &Meter, shared: &Arc<Shared>) {
-    let counters: [(&'static str, &'static str, Count); 8] = [
+/// Registers the router's metrics, which read the counters that the traffic threads publish.
+pub fn register_metrics(meter: &Meter, shared: &Arc<SharedState>) {
+    let counters: [(&'static str, &'static str, CounterReader); 8] = [
         ("router_requests", "requests taken in", |c| c.requests),
         (
             "router_requests_answered",
@@ -192,7 +195,7 @@
         (
             "router_fates_asked",
             "questions about the fate of an attempt",
-            |c| c.fates_asked,
+            |c| c.fate_queries,
         ),
     ];
     for (name, description, read) in counters {
--- a/crates/stacktack-standins/src/platform/server.rs
+++ b/crates/stacktack-standins/src/platform/server.rs
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use stacktack_core::ledger::{TableOperation, TableReply};
-use stacktack_core::problem::{Kind, Outcome};
+use stacktack_core::problem::{Outcome, ProblemKind};
 use stacktack_core::time::Time;
 use stacktack_node::client::{Machine, PutRow};
 use stacktack_node::http::{
-    body_channel, json_reply, problem_reply, read_body, serve, ChannelBody,
+    body_channel, json_response, problem_response, read_body, serve, ChannelBody,
 };
 
 use super::faults::StoreFault;
@@ -22,26 +22,27 @@
 use super::rate::RateLimit;
 use super::table::Table;
 
-/// Largest body taken, in bytes.
-const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body to come.
+/// Time within which a request body must be received.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Settings of the platform stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformSettings {
-    /// Writes a second, table and objects together.
+    /// Largest rate of writes per second, to the table and the object store together.
     pub writes_per_second: f64,
-    /// Reads a second.
+    /// Largest rate of reads per second, from the table and the object store together.
     pub reads_per_second: f64,
-    /// Bytes a second of the weight store.
+    /// Largest rate of reads from the weight store, in bytes per second.
     pub weight_bytes_per_second: f64,
-    /// Lag of the machine list.
+    /// Time after which a change becomes visible in the machine list.
     pub machine_lag: Duration,
 }
 
-/// What the stand-in counted, for observers.
+/// Numbers of operations on the table, and of operations on the table or the object store that a
+/// rate limit refused.
 #[derive(Debug, Serialize)]
 struct Observed {
     writes: u64,
@@ -49,14 +50,14 @@
     over_rate: u64,
 }
 
-/// Body of a weight store read.
+/// Body of a request to read from the weight store.
 #[derive(Debug, Deserialize)]
 struct WeightRead {
     bytes: f64,
 }
 
 struct State {
-    origin: Instant,
+    started_at: Instant,
     table: Table,
     objects: BTreeMap<String, Bytes>,
     machines: MachineList,
@@ -69,19 +70,19 @@
 
 impl State {
     fn now(&self) -> Time {
-        Time(self.origin.elapsed().as_micros() as u64)
+        Time(self.started_at.elapsed().as_micros() as u64)
     }
 
-    fn allowed(&mut self, write: bool) -> bool {
+    fn try_acquire(&mut self, is_write: bool) -> bool {
         let now = self.now();
-        let limit = if write {
+        let limit = if is_write {
             &mut self.writes
         } else {
             &mut self.reads
         };
-        let allowed = limit.take(now, 1.0);
-        self.over_rate += u64::from(!allowed);
-        allowed
+        let acquired = limit.try_acquire(now, 1.0);
+        self.over_rate += u64::from(!acquired);
+        acquired
     }
 }
 
@@ -92,7 +93,7 @@
 ) -> std::io::Result<()> {
     let now = Time::default();
     let state = Rc::new(RefCell::new(State {
-        origin: Instant::now(),
+        started_at: Instant::now(),
         table: Table::default(),
         objects: BTreeMap::new(),
         machines: MachineList::new(settings.machine_lag),
@@ -102,13 +103,16 @@
         weights: RateLimit::new(settings.weight_bytes_per_second, now),
         over_rate: 0,
     }));
-    serve(listener, move |request| answer(state.clone(), request)).await
+    serve(listener, move |request| {
+        handle_request(state.clone(), request)
+    })
+    .await
 }
 
-async fn answer(state: Rc<RefCell<State>>, mut request: Request) -> Response<BoxBody> {
-    let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
+async fn handle_request(state: Rc<RefCell<State>>, mut request: Request) -> Response<BoxBody> {
+    let body = match read_body(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     let path = request.path().to_string();
     let (service, rest) = match path[1..].split_once('/') {
@@ -125,41 +129,41 @@
             if rest == "leaving" {
                 machines.retain(|machine| machine.leaving);
             }
-            json_reply(StatusCode::OK, &machines)
+            json_response(StatusCode::OK, &machines)
         }
         (&Method::PUT, "machines") => register(&state, &body),
-        (&Method::DELETE, "machines") => leave(&state, rest),
+        (&Method::DELETE, "machines") => mark_leaving(&state, rest),
         (&Method::POST, "weights") => read_weights(&state, &body),
         (method, "table") | (method, "objects") => {
-            store(&state, method.clone(), service, rest, &body).await
+            access_store(&state, method.clone(), service, rest, &body).await
         }
-        _ => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, path)),
+        _ => problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, path)),
     }
 }
 
-fn malformed(error: &serde_json::Error) -> Response<BoxBody> {
-    problem_reply(&Kind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
+fn malformed_body(error: &serde_json::Error) -> Response<BoxBody> {
+    problem_response(&ProblemKind::MalformedBody.problem(Outcome::NotRun, error.to_string()))
 }
 
 fn set_fault(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
     match serde_json::from_slice(body) {
         Ok(fault) => {
             state.borrow_mut().fault = fault;
-            json_reply(StatusCode::OK, &fault)
+            json_response(StatusCode::OK, &fault)
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_body(&error),
     }
 }
 
 fn observed(state: &Rc<RefCell<State>>) -> Response<BoxBody> {
     let state = state.borrow();
-    let (writes, reads) = state.table.operations();
+    let (writes, reads) = state.table.operation_counts();
     let observed = Observed {
         writes,
         reads,
         over_rate: state.over_rate,
     };
-    json_reply(StatusCode::OK, &observed)
+    json_response(StatusCode::OK, &observed)
 }
 
 fn register(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
@@ -168,42 +172,42 @@
             let mut state = state.borrow_mut();
             let now = state.now();
             state.machines.register(now, machine);
-            json_reply(StatusCode::OK, &())
+            json_response(StatusCode::OK, &())
         }
-        Err(error) => malformed(&error),
+        Err(error) => malformed_body(&error),
     }
 }
 
-fn leave(state: &Rc<RefCell<State>>, name: &str) -> Response<BoxBody> {
+fn mark_leaving(state: &Rc<RefCell<State>>, name: &str) -> Response<BoxBody> {
     let mut state = state.borrow_mut();
     let now = state.now();
     if state.machines.mark_leaving(now, name) {
-        json_reply(StatusCode::OK, &())
+        json_response(StatusCode::OK, &())
     } else {
-        problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, name))
+        problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, name))
     }
 }
 
 fn read_weights(state: &Rc<RefCell<State>>, body: &[u8]) -> Response<BoxBody> {
     let read: WeightRead = match serde_json::from_slice(body) {
         Ok(read) => read,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let mut state = state.borrow_mut();
     let now = state.now();
-    if state.weights.take(now, read.bytes) {
-        json_reply(StatusCode::OK, &())
+    if state.weights.try_acquire(now, read.bytes) {
+        json_response(StatusCode::OK, &())
     } else {
         overloaded("the weight store's rate is used up")
     }
 }
 
 fn overloaded(detail: &str) -> Response<BoxBody> {
-    let problem = Kind::TenantLimit.problem(Outcome::NotRun, detail);
-    problem_reply(&problem.retry_after(1_000))
+    let problem = ProblemKind::TenantLimit.problem(Outcome::NotRun, detail);
+    problem_response(&problem.retry_after(1_000))
 }
 
-async fn store(
+async fn access_store(
     state: &Rc<RefCell<State>>,
     method: Method,
     service: &str,
@@ -212,34 +216,36 @@
 ) -> Response<BoxBody> {
     let fault = state.borrow().fault;
     if fault == StoreFault::Down {
-        let problem = Kind::StoreUnavailable.problem(Outcome::NotRun, "the store is down");
-        return problem_reply(&problem.retry_after(1_000));
+        let problem = ProblemKind::StoreUnavailable.problem(Outcome::NotRun, "the store is down");
+        return problem_response(&problem.retry_after(1_000));
     }
-    if !state.borrow_mut().allowed(method == Method::PUT) {
+    if !state.borrow_mut().try_acquire(method == Method::PUT) {
         return overloaded("the store's rate is used up");
     }
     if !fault.delay().is_zero() {
         actix_rt::time::sleep(fault.delay()).await;
     }
-    let reply = match (service, &method) {
+    let response = match (service, &method) {
         ("table", &Method::GET) => get_row(state, key),
         ("table", &Method::PUT) => put_row(state, key, body),
         ("objects", &Method::GET) => get_object(state, key),
         ("objects", &Method::PUT) => put_object(state, key, body),
-        _ => problem_reply(&Kind::MethodNotAllowed.problem(Outcome::NotRun, method.as_str())),
+        _ => problem_response(
+            &ProblemKind::MethodNotAllowed.problem(Outcome::NotRun, method.as_str()),
+        ),
     };
     if fault == StoreFault::LoseReplies && method == Method::PUT {
-        return lost_reply();
+        return truncated_response();
     }
-    reply
+    response
 }
 
-/// A reply whose body breaks off: the client cannot tell what happened.
-fn lost_reply() -> Response<BoxBody> {
-    let (sender, parts) = body_channel();
+/// A response whose body breaks off, so that the client cannot tell whether its write took effect.
+fn truncated_response() -> Response<BoxBody> {
+    let (sender, receiver) = body_channel();
     drop(sender);
     Response::build(StatusCode::OK)
-        .message_body(BoxBody::new(ChannelBody::new(parts, || {})))
+        .message_body(BoxBody::new(ChannelBody::new(receiver, || {})))
         .unwrap_or_else(|_| Response::new(StatusCode::INTERNAL_SERVER_ERROR))
 }
 
@@ -248,15 +254,15 @@
         key: key.to_string(),
     };
     match state.borrow_mut().table.apply(&operation) {
-        TableReply::Read(Some(row)) => json_reply(StatusCode::OK, &row),
-        _ => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
+        TableReply::Read(Some(row)) => json_response(StatusCode::OK, &row),
+        _ => problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, key)),
     }
 }
 
 fn put_row(state: &Rc<RefCell<State>>, key: &str, body: &[u8]) -> Response<BoxBody> {
     let put: PutRow = match serde_json::from_slice(body) {
         Ok(put) => put,
-        Err(error) => return malformed(&error),
+        Err(error) => return malformed_body(&error),
     };
     let operation = TableOperation::Put {
         key: key.to_string(),
@@ -269,9 +275,9 @@
                 version,
                 value: put.value,
             };
-            json_reply(StatusCode::OK, &row)
+            json_response(StatusCode::OK, &row)
         }
-        TableReply::Conflict(row) => json_reply(StatusCode::CONFLICT, &row),
+        TableReply::Conflict(row) => json_response(StatusCode::CONFLICT, &row),
         TableReply::Read(_) | TableReply::Lost => {
             Response::new(StatusCode::INTERNAL_SERVER_ERROR).map_into_boxed_body()
         }
@@ -283,7 +289,7 @@
         Some(bytes) => Response::build(StatusCode::OK)
             .body(bytes.clone())
             .map_into_boxed_body(),
-        None => problem_reply(&Kind::UnknownPath.problem(Outcome::NotRun, key)),
+        None => problem_response(&ProblemKind::UnknownPath.problem(Outcome::NotRun, key)),
     }
 }
 
@@ -292,5 +298,5 @@
         .borrow_mut()
         .objects
         .insert(key.to_string(), body.clone());
-    json_reply(StatusCode::OK, &())
+    json_response(StatusCode::OK, &())
 }
--- a/crates/stacktack-standins/src/service.rs
+++ b/crates/stacktack-standins/src/service.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a plain service, some of whose calls may not be repeated. It
-//! counts what it really ran by idempotency key and by attempt.
+//! Stand-in of a plain service, some of whose calls must not run twice. It counts the calls that
+//! really ran, by idempotency key and by attempt.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,30 +9,30 @@
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
 use serde::Serialize;
-use stacktack_node::http::{json_reply, problem_reply, read_body, serve};
+use stacktack_node::http::{json_response, problem_response, read_body, serve};
 
-use crate::answer::service_answer;
+use crate::response::service_response;
 
-/// Largest body taken, in bytes.
-const MAXIMUM_BODY: u64 = 16 * 1024 * 1024;
+/// Largest request body accepted.
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Time for a body to come.
+/// Time within which a request body must be received.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What independent observers read.
+/// Counts of the calls that ran, for checks.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Observed {
-    /// Calls that ran.
+    /// Number of calls that ran.
     pub calls: u64,
-    /// Calls that ran by idempotency key.
+    /// Number of runs by idempotency key.
     pub by_key: BTreeMap<String, u32>,
-    /// Calls that ran by attempt.
+    /// Number of runs by attempt.
     pub by_attempt: BTreeMap<String, u32>,
 }
 
 impl Observed {
-    /// Counts a call.
-    pub fn count(&mut self, key: Option<&str>, attempt: Option<&str>) {
+    /// Counts a call, also under its idempotency key and its attempt where these are given.
+    pub fn count_call(&mut self, key: Option<&str>, attempt: Option<&str>) {
         self.calls += 1;
         if let Some(key) = key {
             *self.by_key.entry(key.to_string()).or_insert(0) += 1;
@@ -43,32 +43,32 @@
     }
 }
 
-/// Serves on the current thread; each call takes `duration`.
+/// Serves calls on the current thread; each call takes `duration`.
 pub async fn run(listener: std::net::TcpListener, duration: Duration) -> std::io::Result<()> {
     let observed = Rc::new(RefCell::new(Observed::default()));
     serve(listener, move |request| {
-        answer(observed.clone(), duration, request)
+        handle_request(observed.clone(), duration, request)
     })
     .await
 }
 
-async fn answer(
+async fn handle_request(
     observed: Rc<RefCell<Observed>>,
     duration: Duration,
     mut request: Request,
 ) -> Response<BoxBody> {
     if request.method() == Method::GET && request.path() == "/observed" {
-        return json_reply(StatusCode::OK, &*observed.borrow());
+        return json_response(StatusCode::OK, &*observed.borrow());
     }
-    let body = match read_body(&mut request, MAXIMUM_BODY, BODY_TIMEOUT).await {
+    let body = match read_body(&mut request, MAX_BODY_BYTES, BODY_TIMEOUT).await {
         Ok(body) => body,
-        Err(error) => return problem_reply(&error.problem()),
+        Err(error) => return problem_response(&error.problem()),
     };
     let header = |name: &str| {
         let value = request.head().headers().get(name)?;
         value.to_str().ok().map(String::from)
     };
-    observed.borrow_mut().count(
+    observed.borrow_mut().count_call(
         header("idempotency-key").as_deref(),
         header("x-request-id").as_deref(),
     );
@@ -79,7 +79,7 @@
         .uri()
         .path_and_query()
         .map_or("/", |target| target.as_str());
-    let text = service_answer(request.method().as_str(), target, &body);
+    let text = service_response(request.method().as_str(), target, &body);
     Response::build(StatusCode::OK)
         .insert_header(("content-type", "text/plain"))
         .body(text)
