--- a/crates/stacktack-core/src/direct/back_ends/mod.rs
+++ b/crates/stacktack-core/src/direct/back_ends/mod.rs
@@ -221,8 +221,8 @@
         count
     }
 
-    /// Back ends that accept new requests and match `meets`, each with its health for a
-    /// request.
+    /// Back ends that accept new requests and for which `matches` holds, each with its health
+    /// for a request.
     pub fn pool(
         &mut self,
         now: Time,
--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -117,7 +117,7 @@
 
 impl DirectCandidate {
     /// Whether the candidate is not full for this request.
-    fn has_room(&self) -> bool {
+    fn has_free_capacity(&self) -> bool {
         self.load < self.limit
     }
 }
@@ -125,7 +125,7 @@
 impl Selection {
     /// Whether the chosen back end has free capacity. If not, the request has to be refused:
     /// usually no back end that it may go to has free capacity then.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_capacity(&self) -> bool {
         self.load < self.limit
     }
 }
@@ -200,7 +200,7 @@
         if candidate.health != best {
             continue;
         }
-        if !candidate.has_room() {
+        if !candidate.has_free_capacity() {
             first_full.get_or_insert(rank);
             full += 1;
             if full >= max_full_candidates {
@@ -229,11 +229,13 @@
         };
         candidate.load + zone_cost
     };
-    let with_room = |candidate: &&DirectCandidate| candidate.health == best && candidate.has_room();
-    let some_has_room = eligible(candidates).any(|candidate| with_room(&candidate));
+    let with_free_capacity =
+        |candidate: &&DirectCandidate| candidate.health == best && candidate.has_free_capacity();
+    let some_has_free_capacity =
+        eligible(candidates).any(|candidate| with_free_capacity(&candidate));
     let chosen = eligible(candidates)
         .filter(|candidate| candidate.health == best)
-        .filter(|candidate| !some_has_room || with_room(candidate))
+        .filter(|candidate| !some_has_free_capacity || with_free_capacity(candidate))
         .min_by(|a, b| {
             cost(a)
                 .total_cmp(&cost(b))
@@ -301,7 +303,7 @@
 /// [`SPILL_CANDIDATES`] candidates from `rank` on; `rank` if there is none.
 fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Health) -> usize {
     let near = order.iter().enumerate().skip(rank).take(SPILL_CANDIDATES);
-    near.filter(|(_, (_, candidate))| candidate.health == best && candidate.has_room())
+    near.filter(|(_, (_, candidate))| candidate.health == best && candidate.has_free_capacity())
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map_or(rank, |(rank, _)| rank)
 }
--- a/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
+++ b/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
@@ -1,6 +1,6 @@
 //! Interrupted runs, until it is known whether their back end crashed.
 //!
-//! An interrupted run does not yet show that its back end crashed: lost answers, garbled or
+//! An interrupted run does not yet show that its back end crashed: lost responses, garbled or
 //! truncated streams and broken links look the same at first. It counts as a crash once the back
 //! end refuses connections, or once its directory entry vanished without a planned stop. Until
 //! then the run is kept here.
@@ -21,7 +21,7 @@
 /// at once.
 const MAX_RUNS_PER_INSTANCE: usize = 256;
 
-/// A run that broke off before its answer was complete.
+/// A run that broke off before its response was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InterruptedRun {
     /// Request that was running.
--- a/crates/stacktack-core/tests/admission/simulation.rs
+++ b/crates/stacktack-core/tests/admission/simulation.rs
@@ -334,7 +334,7 @@
         let chosen = select_by_affinity(&candidates, part, &bounds).expect("chosen");
         let decision = pool.map(|pool| admission.decide(request, pool, routers, now));
         let is_admitted = decision.is_none_or(|decision| decision == PoolDecision::Admitted);
-        (is_admitted && chosen.has_room()).then_some((chosen.index, chosen.load))
+        (is_admitted && chosen.has_free_capacity()).then_some((chosen.index, chosen.load))
     }
 
     fn refuse(
--- a/crates/stacktack-core/tests/direct.rs
+++ b/crates/stacktack-core/tests/direct.rs
@@ -305,16 +305,16 @@
     for bounds in [usual, full_pool] {
         for full_count in [0, 3] {
             let chosen = choose(full_count, bounds);
-            assert!(chosen.has_room() && chosen.rank == full_count);
+            assert!(chosen.has_free_capacity() && chosen.rank == full_count);
         }
     }
     assert!(
-        !choose(4, full_pool).has_room(),
+        !choose(4, full_pool).has_free_capacity(),
         "a further back end would read the part again"
     );
     let chosen = choose(4, usual);
     assert!(
-        chosen.has_room() && chosen.rank == 4,
+        chosen.has_free_capacity() && chosen.rank == 4,
         "free capacity is used"
     );
 }
--- a/crates/stacktack-direct/src/admission.rs
+++ b/crates/stacktack-direct/src/admission.rs
@@ -53,8 +53,10 @@
     body: Incoming,
     caller: CallerRequest,
 ) -> Result<Box<Exchange>, EarlyRefusal> {
-    let known = router.configuration.borrow().clone();
-    let version = known.as_ref().map_or(0, |known| known.version);
+    let configuration = router.configuration.borrow().clone();
+    let version = configuration
+        .as_ref()
+        .map_or(0, |configuration| configuration.version);
     let id = caller.id.clone();
     let refused = |kind| EarlyRefusal {
         kind,
@@ -67,7 +69,7 @@
     if router.awaits_contact() {
         return Err(refused(RefusalKind::NotReady));
     }
-    let configuration = known.ok_or_else(|| refused(RefusalKind::NotReady))?;
+    let configuration = configuration.ok_or_else(|| refused(RefusalKind::NotReady))?;
     let route = find_route(&configuration, &head).ok_or_else(|| refused(RefusalKind::NoRoute))?;
     let tenant = find_tenant(&configuration, &route, &caller)
         .map_err(|()| refused(RefusalKind::UnknownKey))?;
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -34,9 +34,9 @@
         request: Retryability,
         limit: Option<SlotLimit>,
     ) -> Candidates {
-        let choice = self.version_filter(pool, excluded.is_empty());
-        let candidates = self.candidates_for_version(choice, pool, excluded, request, limit);
-        if choice == VersionFilter::Selected(VersionSelection::New)
+        let filter = self.version_filter(pool, excluded.is_empty());
+        let candidates = self.candidates_for_version(filter, pool, excluded, request, limit);
+        if filter == VersionFilter::Selected(VersionSelection::New)
             && !candidates.any_has_capacity()
         {
             let old = VersionFilter::Selected(VersionSelection::Old);
@@ -47,7 +47,7 @@
 
     fn candidates_for_version(
         &self,
-        choice: VersionFilter,
+        filter: VersionFilter,
         pool: &[Requirement],
         excluded: &[String],
         request: Retryability,
@@ -59,7 +59,7 @@
         let members = back_ends.pool(now, request, |entry| {
             matches_all(pool, &entry.labels)
                 && !excluded.contains(&entry.id)
-                && self.matches_version_filter(entry, choice)
+                && self.matches_version_filter(entry, filter)
         });
         let mut candidates = Candidates::default();
         for (index, (member, health)) in members.into_iter().enumerate() {
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -140,7 +140,7 @@
             self.tried.join(","),
             self.history.sends,
             self.history.unreached,
-            self.caller.timeout.map_or(0, |patience| patience.as_millis()),
+            self.caller.timeout.map_or(0, |timeout| timeout.as_millis()),
             self.has_returned,
             self.outcome.as_str(),
             status,
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -168,11 +168,11 @@
             start: &self.start,
             router: &self.router,
             is_initialized: self.knowledge().as_of().is_some(),
-            peer_knows_more: self.peer_knows_more(),
+            peer_has_newer_revision: self.peer_has_newer_revision(),
         }
     }
 
-    fn peer_knows_more(&self) -> bool {
+    fn peer_has_newer_revision(&self) -> bool {
         let peers = self.router.peers.borrow();
         peers
             .with_newer_configuration(self.router.configuration_version(), &[])
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -124,11 +124,11 @@
             start: &self.start,
             router: &self.router,
             is_initialized: self.knowledge().as_of().is_some(),
-            peer_knows_more: self.peer_knows_more(),
+            peer_has_newer_revision: self.peer_has_newer_revision(),
         }
     }
 
-    fn peer_knows_more(&self) -> bool {
+    fn peer_has_newer_revision(&self) -> bool {
         let peers = self.router.peers.borrow();
         peers
             .with_newer_directory(self.router.directory_revision(), &[])
--- a/crates/stacktack-direct/src/followers/mod.rs
+++ b/crates/stacktack-direct/src/followers/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! The tasks that follow the configuration and the directory call the same store and share a
 //! [`StoreMonitor`]: what one of them learns about the store's latency and recovery counts for the
-//! other. Further tasks fetch from peers that know more, read zone drains that the configuration
-//! task missed, read and write verdicts on requests that crash back ends, discover the other
-//! routers, and write the outcomes of roll-outs.
+//! other. Further tasks fetch from peers that have newer revisions, read zone drains that the
+//! configuration task missed, read and write verdicts on requests that crash back ends, discover
+//! the other routers, and write the outcomes of roll-outs.
 
 mod backoff;
 mod configuration;
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -16,7 +16,8 @@
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Time between two checks whether a peer knows more, while no gossip says so.
+/// Time between two checks whether a peer has a newer revision, while no gossip
+/// says so.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time without any byte after which a fetch from a peer fails. The peer is avoided while another
@@ -54,7 +55,7 @@
     subject: Subject,
     /// Peers that failed to answer, or had no free capacity, when they were asked last.
     avoid: Vec<SocketAddr>,
-    /// Since when peers have known more than this router without sending it.
+    /// Since when peers have had a newer revision than this router without sending it.
     behind_since: Option<Time>,
 }
 
@@ -77,8 +78,9 @@
         }
     }
 
-    /// Requests a poll of the store if peers have known more for too long and none of them has sent
-    /// it. A router that knows nothing yet calls the store after its start delay instead.
+    /// Requests a poll of the store if peers have had a newer revision for too long and none of
+    /// them has sent it. A router that knows nothing yet calls the store after its start delay
+    /// instead.
     fn poll_store_if_behind(&mut self) {
         if self.is_uninitialized() {
             self.behind_since = None;
@@ -113,8 +115,8 @@
         }
     }
 
-    /// A peer that knows more than this router, if there is one; avoided peers only if there is no
-    /// other.
+    /// A peer that has a newer revision than this router, if there is one; avoided peers only if
+    /// there is no other.
     fn select_peer(&self) -> Option<SocketAddr> {
         let peers = self.router.peers.borrow();
         match self.subject {
@@ -143,21 +145,21 @@
         }
     }
 
-    /// Whether a peer of the own zone knows more and is not avoided.
+    /// Whether a peer of the own zone has a newer revision and is not avoided.
     fn has_untried_peer_in_zone(&self) -> bool {
         self.select_peer().is_some_and(|peer| {
             !self.avoid.contains(&peer) && self.router.peers.borrow().is_in_own_zone(peer)
         })
     }
 
-    /// Fetches what a peer knows beyond this router.
+    /// Fetches from a peer what is newer than the revision of this router.
     async fn fetch(&mut self, peer: SocketAddr) -> Result<(), SourceError> {
         let transfer = Transfer::begin();
-        let known = match self.subject {
+        let query = match self.subject {
             Subject::Configuration => PeerQuery::Configuration(self.router.configuration_version()),
             Subject::Directory => PeerQuery::Directory(self.router.directory_revision()),
         };
-        let call = self.source.fetch_update(peer, known, transfer.clone());
+        let call = self.source.fetch_update(peer, query, transfer.clone());
         let near = self.router.peers.borrow().is_in_own_zone(peer);
         let result = with_idle_timeout(call, &transfer, PEER_IDLE_TIMEOUT).await;
         let (bytes, ms) = (transfer.bytes(), transfer.elapsed().as_millis());
--- a/crates/stacktack-direct/src/followers/start_delay.rs
+++ b/crates/stacktack-direct/src/followers/start_delay.rs
@@ -24,8 +24,8 @@
 /// maximum wait.
 const DRAW_EXPONENT: f64 = 0.25;
 
-/// Maximum time after the start for which a fetch from a peer that knows more is awaited before the
-/// store is called.
+/// Maximum time after the start for which a fetch from a peer that has a newer revision is awaited
+/// before the store is called.
 const MAX_PEER_FETCH_WAIT: Duration = Duration::from_millis(1500);
 
 /// Time between two checks whether a peer has sent what this router lacks.
@@ -62,11 +62,11 @@
     }
 
     /// Time until the deferral of the first call is checked again; `None` if the call is due. The
-    /// call is deferred while a peer that knows more may answer, and while others that start too
-    /// may read the source first.
-    fn remaining_delay(&self, router: &Router, peer_knows_more: bool) -> Option<Duration> {
+    /// call is deferred while a peer that has a newer revision may answer, and while others that
+    /// start too may read the source first.
+    fn remaining_delay(&self, router: &Router, peer_has_newer_revision: bool) -> Option<Duration> {
         let since = self.started.elapsed();
-        if peer_knows_more && since < MAX_PEER_FETCH_WAIT {
+        if peer_has_newer_revision && since < MAX_PEER_FETCH_WAIT {
             return Some(CHECK_INTERVAL);
         }
         if self.calls_at_once || router.peers.borrow().live_count() == 0 {
@@ -84,8 +84,8 @@
     pub(super) router: &'a Router,
     /// Whether the source is known up to some time.
     pub(super) is_initialized: bool,
-    /// Whether some peer knows more than this router.
-    pub(super) peer_knows_more: bool,
+    /// Whether some peer has a newer revision than this router.
+    pub(super) peer_has_newer_revision: bool,
 }
 
 impl StartProgress<'_> {
@@ -97,11 +97,11 @@
     }
 
     /// Time until the deferral of the first call is checked again; `None` if the call is no longer
-    /// deferred. A source that is known ends the deferral, unless a peer knows more.
+    /// deferred. A source that is known ends the deferral, unless a peer has a newer revision.
     pub(super) fn remaining_delay(&self) -> Option<Duration> {
         let delay = self
             .start
-            .remaining_delay(self.router, self.peer_knows_more);
-        delay.filter(|_| !self.is_initialized || self.peer_knows_more)
+            .remaining_delay(self.router, self.peer_has_newer_revision);
+        delay.filter(|_| !self.is_initialized || self.peer_has_newer_revision)
     }
 }
--- a/crates/stacktack-direct/src/lib.rs
+++ b/crates/stacktack-direct/src/lib.rs
@@ -5,22 +5,24 @@
 //! that it controls one by one, since what happened on a connection decides what is certain about a
 //! request. The crate has no names of the platform that it runs on: those come through [`ports`].
 //!
-//! - Process: [`app`] has start and signals, `stopping` the graceful shutdown, [`router`] the state
-//!   of the process, [`settings`] its settings, `count_guard` counts of what is in flight. [`clock`]
-//!   and `suspension` have its time and the effects of a suspension of its machine.
-//! - Interfaces: [`ports`] has what a platform adapter supplies.
-//! - Connections: `server` serves callers' connections, `idle_connections` and [`client`] connections to
-//!   back ends.
+//! - Process: [`app`] has start and signals, `stopping` the graceful shutdown, [`router`] the
+//!   state of the process, [`settings`] its settings, `count_guard` counts of what is in flight.
+//!   [`clock`] and `suspension` have its time and the effects of a suspension of its machine.
+//! - Interfaces: [`ports`] has what a platform adapter supplies, [`source_error`] why a call to the
+//!   store or to a peer failed, and [`metrics`] the instruments of the process.
+//! - Connections: `server` serves callers' connections, `idle_connections` and [`client`]
+//!   connections to back ends.
 //! - One request: `admission`, `exchange`, `sending`, `candidates`, `choice` and `attempt` take it
-//!   from its head to its end. `pool_admission` decides on admission to its pool, `attempt_timeout` whether a silent
-//!   attempt is abandoned for another one, and `crash_detection` whether an interrupted attempt was a
-//!   crash of its back end. `quarantine` handles requests that crash back ends, [`rollouts`]
-//!   versions that are rolled out, and `zone_drains` zones that get no requests. `response_buffering`, `respond`,
-//!   `response_body` and `response_deadline` return responses to callers.
+//!   from its head to its end. `pool_admission` decides on admission to its pool, `load_summary`
+//!   sums up the loads of the pool for logs, `attempt_timeout` decides whether a silent attempt is
+//!   abandoned for another one, and `crash_detection` whether an interrupted attempt was a crash
+//!   of its back end. `quarantine` handles requests that crash back ends, [`rollouts`] versions
+//!   that are rolled out, and `zone_drains` zones that get no requests. `response_buffering`,
+//!   `respond`, `response_body` and `response_deadline` return responses to callers.
 //! - State from elsewhere: [`followers`] keep configuration, directory and verdicts current, and
 //!   `freshness` tracks how new they are. [`calls`] and [`transfer`] track calls in flight and the
-//!   progress of their responses. `gossip` and [`datagram`] exchange gossip with other routers, and
-//!   [`peer_updates`] sends them configuration and directory on request.
+//!   progress of their responses. [`gossip`] and [`datagram`] exchange gossip with other routers,
+//!   and [`peer_updates`] sends them configuration and directory on request.
 
 mod admission;
 pub mod app;
--- a/crates/stacktack-direct/src/pool_admission.rs
+++ b/crates/stacktack-direct/src/pool_admission.rs
@@ -95,7 +95,7 @@
                 return Some(cause);
             }
         }
-        (!choice.selection.has_room()).then_some(AdmissionRefusal::BackEndsFull)
+        (!choice.selection.has_free_capacity()).then_some(AdmissionRefusal::BackEndsFull)
     }
 
     fn pool_refusal(&self, pool: Option<PoolLoad>) -> Option<AdmissionRefusal> {
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -63,7 +63,7 @@
 
 /// State of a router process.
 pub struct Router {
-    /// Settings that hold for the life of the process.
+    /// Settings that do not change while the process runs.
     pub settings: DirectSettings,
     /// Bounds in force; reloading the settings changes them.
     bounds: Cell<Bounds>,
@@ -365,8 +365,8 @@
         let mut back_ends = self.back_ends.borrow_mut();
         for back_end in back_ends.iter_mut() {
             if suspects.contains(&ShortId::of(back_end.id_hash)) {
-                let accused = back_end.on_suspect_report(peer, now);
-                if accused {
+                let became_suspect = back_end.on_suspect_report(peer, now);
+                if became_suspect {
                     log::info!(
                         target: "belief",
                         "back_end={} accused=true cause=peers last={peer}",
