--- a/crates/stacktack-lab/src/emulator/callers.rs
+++ b/crates/stacktack-lab/src/emulator/callers.rs
@@ -110,7 +110,7 @@
     /// How it ended.
     pub ending: Ending,
     /// Whether it may run only once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Its idempotency key.
     pub key: Option<String>,
     chat: Option<(usize, usize)>,
@@ -119,7 +119,7 @@
 
 impl CallerRequest {
     /// Whether what it got is its own answer, as far as it goes.
-    pub fn is_own(&self) -> bool {
+    pub fn matches_expected(&self) -> bool {
         let whole = self.ending == Ending::Whole;
         let got = match self.got.strip_suffix(STREAM_END) {
             Some(text) if self.stream && whole => text,
@@ -147,7 +147,7 @@
     /// Requests by identifier.
     pub requests: HashMap<RequestId, CallerRequest>,
     /// Bytes or endings for a request that has ended.
-    pub after_end: u64,
+    pub received_after_end: u64,
 }
 
 impl Callers {
@@ -157,14 +157,14 @@
             .get(&request)
             .is_none_or(|held| held.ending != Ending::Open)
         {
-            self.after_end += 1;
+            self.received_after_end += 1;
         }
     }
 
     pub(super) fn on_body(&mut self, request: RequestId, bytes: &Bytes) {
         match self.requests.get_mut(&request) {
             Some(held) if held.ending == Ending::Open => held.got.extend_from_slice(bytes),
-            _ => self.after_end += 1,
+            _ => self.received_after_end += 1,
         }
     }
 
@@ -194,7 +194,7 @@
                 held.ending = ending;
                 held.ended_at = Some(now);
             }
-            _ => self.after_end += 1,
+            _ => self.received_after_end += 1,
         }
     }
 
@@ -349,7 +349,7 @@
     key: Option<String>,
     chat: Option<(usize, usize)>,
     stream: bool,
-    once: bool,
+    at_most_once: bool,
 ) -> CallerRequest {
     CallerRequest {
         router: 0,
@@ -358,7 +358,7 @@
         expected,
         got: Vec::new(),
         ending: Ending::Open,
-        once: once || key.is_some(),
+        at_most_once: at_most_once || key.is_some(),
         key,
         chat,
         stream,
@@ -396,7 +396,7 @@
 
 impl CallerRequest {
     /// Whether a cut answer ended as if it were whole.
-    pub fn is_falsely_done(&self) -> bool {
+    pub fn is_cut_but_looks_whole(&self) -> bool {
         let ended = matches!(self.ending, Ending::Cut(_));
         ended && self.stream && self.got.ends_with(STREAM_END)
     }
--- a/crates/stacktack-lab/src/emulator/mod.rs
+++ b/crates/stacktack-lab/src/emulator/mod.rs
@@ -47,7 +47,7 @@
 const OBSERVATION: Duration = Duration::from_millis(20);
 
 /// Time for control state and connections to settle before load begins.
-pub const SETTLING: Duration = Duration::from_secs(3);
+pub const SETTLING_TIME: Duration = Duration::from_secs(3);
 
 /// What an emulated fleet is made of.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     /// Seed of everything that is drawn.
     pub seed: u64,
     /// Bytes a second of control traffic of each process.
-    pub control_bytes: f64,
+    pub control_bytes_per_second: f64,
     /// Protections in force.
     pub protections: Protections,
     /// Whether agents compete for the controller lease and send orders.
--- a/crates/stacktack-lab/src/emulator/observer.rs
+++ b/crates/stacktack-lab/src/emulator/observer.rs
@@ -36,9 +36,9 @@
     /// When each version was first in force at each process, in its life.
     pub in_force: HashMap<ProcessId, BTreeMap<ConfigurationVersion, Time>>,
     /// When processes that were started again began their present lives.
-    pub started: HashMap<ProcessId, Time>,
+    pub restarted_at: HashMap<ProcessId, Time>,
     /// Versions that fell within a life.
-    pub falls: Vec<(ProcessId, ConfigurationVersion, ConfigurationVersion)>,
+    pub version_decreases: Vec<(ProcessId, ConfigurationVersion, ConfigurationVersion)>,
     /// Accepted versions, when and by which change.
     pub accepted: Vec<(ConfigurationVersion, Time, String)>,
     /// Operators who lost a race and know it.
@@ -48,12 +48,12 @@
     holders: BTreeMap<u64, ProcessId>,
     /// Times that two processes thought at once that they hold the lease, or
     /// that an epoch had two holders.
-    pub double_holders: usize,
+    pub lease_conflicts: usize,
     load_windows: BTreeMap<ProcessId, VecDeque<f64>>,
     /// Highest load seen as a share of the bound `max(cap * mean, mean +
     /// largest request)`, where the mean is that of each engine's highest load
     /// of the last [`LOAD_WINDOW`] looks, with one request more.
-    pub worst_bound_ratio: f64,
+    pub max_load_bound_ratio: f64,
     /// Largest work of a single request, for the bound.
     pub largest_work: f64,
     /// Load cap, for the bound.
@@ -88,7 +88,7 @@
         let first = *self.holders.entry(epoch).or_insert(id);
         let newest = self.holders.keys().next_back().copied();
         let superseded = newest.is_some_and(|newest| newest > epoch);
-        self.double_holders += usize::from(first != id || superseded);
+        self.lease_conflicts += usize::from(first != id || superseded);
     }
 
     /// Epochs of the controller lease that had a holder.
@@ -103,7 +103,7 @@
     /// A process begins a new life.
     pub(super) fn note_start(&mut self, now: Time, id: ProcessId) {
         self.leaving.remove(&id);
-        self.started.insert(id, now);
+        self.restarted_at.insert(id, now);
         self.in_force.remove(&id);
     }
 
@@ -118,7 +118,7 @@
         from: ConfigurationVersion,
         to: ConfigurationVersion,
     ) {
-        self.falls.push((id, from, to));
+        self.version_decreases.push((id, from, to));
     }
 
     pub(super) fn note_accepted(&mut self, now: Time, version: ConfigurationVersion, id: &str) {
@@ -151,7 +151,7 @@
         let mean = (peaks + self.largest_work) / f64::from(engines.max(1));
         let bound = (self.load_cap * mean).max(mean + self.largest_work);
         if bound > 0.0 {
-            self.worst_bound_ratio = self.worst_bound_ratio.max(busiest / bound);
+            self.max_load_bound_ratio = self.max_load_bound_ratio.max(busiest / bound);
         }
     }
 
@@ -165,7 +165,10 @@
     ) -> Option<Time> {
         let mut last = Time::default();
         for (id, process) in processes.iter().enumerate() {
-            let later_life = self.started.get(&id).is_some_and(|at| *at > accepted_at);
+            let later_life = self
+                .restarted_at
+                .get(&id)
+                .is_some_and(|at| *at > accepted_at);
             if !process.alive || later_life {
                 continue;
             }
--- a/crates/stacktack-lab/src/emulator/orders.rs
+++ b/crates/stacktack-lab/src/emulator/orders.rs
@@ -64,14 +64,14 @@
     }
 
     /// Orders followed after one of a later epoch.
-    pub fn falls(&self) -> usize {
+    pub fn epoch_decreases(&self) -> usize {
         let mut highest = 0;
-        let mut falls = 0;
+        let mut epoch_decreases = 0;
         for order in &self.state.followed {
-            falls += usize::from(order.epoch < highest);
+            epoch_decreases += usize::from(order.epoch < highest);
             highest = highest.max(order.epoch);
         }
-        falls
+        epoch_decreases
     }
 }
 
--- a/crates/stacktack-lab/src/emulator/process.rs
+++ b/crates/stacktack-lab/src/emulator/process.rs
@@ -130,7 +130,7 @@
             .wrapping_add(self.lives);
         let control = Control::new(
             information.clone(),
-            self.plan.control_bytes,
+            self.plan.control_bytes_per_second,
             self.plan.protections,
             seed,
             self.now,
--- a/crates/stacktack-lab/src/scenario/check.rs
+++ b/crates/stacktack-lab/src/scenario/check.rs
@@ -111,7 +111,9 @@
             ),
             Expectation::InForce(span) => check_in_force(emulator, *span),
             Expectation::Ready(span) => check_ready(emulator, *span),
-            Expectation::VersionsRise => none(emulator.observer().falls.len(), "versions fell"),
+            Expectation::VersionsRise => {
+                none(emulator.observer().version_decreases.len(), "versions fell")
+            }
             Expectation::Accepted(count) => check_accepted(emulator, *count),
             Expectation::RunsPerRequest(most) => check_runs(emulator, *most),
             Expectation::EndedWithin(span) => check_ended(emulator, *span),
@@ -119,7 +121,7 @@
             Expectation::RetryAfter => check_retry_after(emulator),
             Expectation::LoadBound => check_bound(emulator),
             Expectation::OneHolder => none(
-                emulator.observer().double_holders,
+                emulator.observer().lease_conflicts,
                 "times two processes held the lease",
             ),
             Expectation::LeaseHeld => {
@@ -161,16 +163,19 @@
     let wrong = callers
         .requests
         .values()
-        .filter(|held| !held.is_own())
+        .filter(|held| !held.matches_expected())
         .count();
     let false_ends = callers
         .requests
         .values()
-        .filter(|held| held.is_falsely_done())
+        .filter(|held| held.is_cut_but_looks_whole())
         .count();
     none(wrong, "callers got what is not their answer")?;
     none(false_ends, "cut answers look whole")?;
-    none(callers.after_end as usize, "parts came after the end")
+    none(
+        callers.received_after_end as usize,
+        "parts came after the end",
+    )
 }
 
 fn check_not_run(emulator: &Emulator) -> Result<(), String> {
@@ -196,7 +201,7 @@
         .callers()
         .requests
         .iter()
-        .filter(|(_, held)| held.once)
+        .filter(|(_, held)| held.at_most_once)
         .filter(|(id, _)| observer.runs.get(id).is_some_and(|runs| runs.len() > 1))
         .count();
     none(repeated, "requests ran more than once")?;
@@ -269,7 +274,7 @@
 
 fn check_ready(emulator: &Emulator, span: Duration) -> Result<(), String> {
     let observer = emulator.observer();
-    for (id, started_at) in &observer.started {
+    for (id, started_at) in &observer.restarted_at {
         let versions = observer.in_force.get(id);
         let first = versions.and_then(|versions| versions.values().min());
         let name = &emulator.processes()[*id].name;
@@ -343,12 +348,12 @@
         .processes()
         .iter()
         .filter_map(|process| process.order_target.as_ref());
-    let falls = targets.map(|target| target.falls()).sum();
-    none(falls, "orders followed one of a later epoch")
+    let epoch_decreases = targets.map(|target| target.epoch_decreases()).sum();
+    none(epoch_decreases, "orders followed one of a later epoch")
 }
 
 fn check_bound(emulator: &Emulator) -> Result<(), String> {
-    let ratio = emulator.observer().worst_bound_ratio;
+    let ratio = emulator.observer().max_load_bound_ratio;
     hold(ratio <= BOUND_TOLERANCE, || {
         format!("the busiest engine was at {ratio:.3} of the bound")
     })
--- a/crates/stacktack-lab/src/scenario/run.rs
+++ b/crates/stacktack-lab/src/scenario/run.rs
@@ -13,7 +13,7 @@
 use super::parse::{Act, PairVerb, Scenario, Verb};
 use crate::emulator::faults::Fault;
 use crate::emulator::process::ProcessId;
-use crate::emulator::{Emulator, EmulatorPlan, SETTLING};
+use crate::emulator::{Emulator, EmulatorPlan, SETTLING_TIME};
 
 /// Time after a scenario's end for what is under way to end.
 const AFTERWARDS: Duration = Duration::from_secs(20);
@@ -65,22 +65,22 @@
         fleet: scenario.fleet.clone(),
         policy: Policy::Bounded,
         seed: scenario.seed,
-        control_bytes: DEFAULT_BYTES_PER_SECOND,
+        control_bytes_per_second: DEFAULT_BYTES_PER_SECOND,
         protections,
         orders: scenario.orders,
     })?;
     for load in &scenario.loads {
         let mut shifted = load.clone();
-        shifted.from = load.from + SETTLING;
-        shifted.to = Time(load.to.0.min(scenario.length.as_micros() as u64)) + SETTLING;
+        shifted.from = load.from + SETTLING_TIME;
+        shifted.to = Time(load.to.0.min(scenario.length.as_micros() as u64)) + SETTLING_TIME;
         emulator.add_load(shifted);
     }
     for (at, act) in &scenario.acts {
         for fault in faults_of(&emulator, act)? {
-            emulator.add_fault(SETTLING + *at, fault);
+            emulator.add_fault(SETTLING_TIME + *at, fault);
         }
     }
-    emulator.run_until(Time::default() + SETTLING + scenario.length + AFTERWARDS)?;
+    emulator.run_until(Time::default() + SETTLING_TIME + scenario.length + AFTERWARDS)?;
     Ok(emulator)
 }
 
