--- a/crates/stacktack-lab/src/caller.rs
+++ b/crates/stacktack-lab/src/caller.rs
@@ -32,13 +32,13 @@
     }
 
     /// Adds the caller's next message.
-    pub fn ask(&mut self, text: &str) {
+    pub fn add_user_message(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "user", "content": text }));
     }
 
     /// Adds the engine's answer.
-    pub fn take_answer(&mut self, text: &str) {
+    pub fn add_response(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "assistant", "content": text }));
     }
@@ -56,51 +56,51 @@
 }
 
 /// Attempts of one request that a caller reckons with.
-const MAXIMUM_ATTEMPTS: u16 = 24;
+const MAX_ATTEMPTS: u16 = 24;
 
 /// The answers that a request may get: one for each attempt.
 #[derive(Clone, Debug)]
-pub struct ExpectedAnswers {
+pub struct ExpectedResponses {
     prompt: Vec<u64>,
     length: u32,
 }
 
-impl ExpectedAnswers {
+impl ExpectedResponses {
     /// The answers to a body.
     pub fn of(body: &str) -> Result<Self, LabError> {
         let request: ChatRequest =
             serde_json::from_str(body).map_err(|error| LabError::Request(error.to_string()))?;
-        Ok(ExpectedAnswers {
+        Ok(ExpectedResponses {
             prompt: request.prompt_tokens(),
             length: request.response_length(),
         })
     }
 
     /// Whether a text is the whole answer of one attempt.
-    pub fn is_whole(&self, text: &str) -> bool {
+    pub fn is_complete(&self, text: &str) -> bool {
         self.texts().any(|answer| answer == text)
     }
 
     /// Whether a text is the beginning of one attempt's answer.
-    pub fn is_beginning(&self, text: &str) -> bool {
+    pub fn is_prefix(&self, text: &str) -> bool {
         self.texts().any(|answer| answer.starts_with(text))
     }
 
     fn texts(&self) -> impl Iterator<Item = String> + '_ {
-        (0..MAXIMUM_ATTEMPTS)
+        (0..MAX_ATTEMPTS)
             .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length))
     }
 }
 
 /// What a caller got.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
+pub struct CallerResponse {
     /// HTTP status.
     pub status: u16,
     /// Text of the answer, or body of a problem.
     pub text: String,
     /// Whether the answer is whole.
-    pub whole: bool,
+    pub complete: bool,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of the prompt that were reused.
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Sends a completion request and reads the whole reply.
+    /// Sends a completion request and reads the whole response.
     pub async fn complete(
         &self,
         chat: &Chat,
         key: &str,
         body: String,
         headers: &[(&str, &str)],
-    ) -> Result<Reply, LabError> {
+    ) -> Result<CallerResponse, LabError> {
         let begin = Instant::now();
         let mut request = self
             .client
@@ -153,28 +153,28 @@
             request = request.insert_header((*name, *value));
         }
         let failed = |error: String| LabError::Request(error);
-        let mut response = request
+        let mut http_response = request
             .send_body(body)
             .await
             .map_err(|error| failed(error.to_string()))?;
         let header = |name: &str| {
-            let value = response.headers().get(name)?;
+            let value = http_response.headers().get(name)?;
             value.to_str().ok().map(String::from)
         };
-        let mut reply = Reply {
-            status: response.status().as_u16(),
+        let mut response = CallerResponse {
+            status: http_response.status().as_u16(),
             decision: header("stacktack-decision").unwrap_or_default(),
             retry_after: header("retry-after").and_then(|text| text.parse().ok()),
-            ..Reply::default()
+            ..CallerResponse::default()
         };
         let is_stream = header("content-type").is_some_and(|kind| kind.starts_with("text/event"));
         let mut bytes = Vec::new();
         let mut broke = false;
-        while let Some(chunk) = response.next().await {
+        while let Some(chunk) = http_response.next().await {
             match chunk {
                 Ok(chunk) => {
                     if bytes.is_empty() {
-                        reply.first_token = begin.elapsed();
+                        response.first_token = begin.elapsed();
                     }
                     bytes.extend_from_slice(&chunk);
                 }
@@ -184,18 +184,18 @@
                 }
             }
         }
-        reply.total = begin.elapsed();
+        response.total = begin.elapsed();
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if is_stream {
-            read_events(&text, &mut reply);
+            read_events(&text, &mut response);
         } else {
-            read_body(&text, &mut reply);
+            read_body(&text, &mut response);
         }
-        reply.whole &= !broke;
-        Ok(reply)
+        response.complete &= !broke;
+        Ok(response)
     }
 
-    /// Sends a call to a plain service and reads the whole reply.
+    /// Sends a call to a plain service and reads the whole response.
     pub async fn call_service(
         &self,
         method: &str,
@@ -203,7 +203,7 @@
         key: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Result<Reply, LabError> {
+    ) -> Result<CallerResponse, LabError> {
         let begin = Instant::now();
         let method = method
             .parse()
@@ -215,63 +215,63 @@
         for (name, value) in headers {
             request = request.insert_header((*name, *value));
         }
-        let mut response = request
+        let mut http_response = request
             .send_body(body)
             .await
             .map_err(|error| LabError::Request(error.to_string()))?;
-        let retry_after = response.headers().get("retry-after");
+        let retry_after = http_response.headers().get("retry-after");
         let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = response
+        let body = http_response
             .body()
             .await
             .map_err(|error| LabError::Request(error.to_string()))?;
-        Ok(Reply {
-            status: response.status().as_u16(),
+        Ok(CallerResponse {
+            status: http_response.status().as_u16(),
             text: String::from_utf8_lossy(&body).into_owned(),
-            whole: true,
+            complete: true,
             retry_after,
             total: begin.elapsed(),
-            ..Reply::default()
+            ..CallerResponse::default()
         })
     }
 }
 
-fn read_usage(value: &Value, reply: &mut Reply) {
+fn read_usage(value: &Value, response: &mut CallerResponse) {
     let usage = &value["usage"];
     if usage.is_object() {
-        reply.prompt_tokens = usage["prompt_tokens"].as_u64().unwrap_or(0);
+        response.prompt_tokens = usage["prompt_tokens"].as_u64().unwrap_or(0);
         let details = &usage["prompt_tokens_details"];
-        reply.cached_tokens = details["cached_tokens"].as_u64().unwrap_or(0);
+        response.cached_tokens = details["cached_tokens"].as_u64().unwrap_or(0);
     }
 }
 
-fn read_events(text: &str, reply: &mut Reply) {
+fn read_events(text: &str, response: &mut CallerResponse) {
     for line in text.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            reply.whole = true;
+            response.complete = true;
             continue;
         }
         let Ok(value) = serde_json::from_str::<Value>(data) else {
             continue;
         };
         if let Some(word) = value["choices"][0]["delta"]["content"].as_str() {
-            reply.text.push_str(word);
+            response.text.push_str(word);
         }
-        read_usage(&value, reply);
+        read_usage(&value, response);
     }
 }
 
-fn read_body(text: &str, reply: &mut Reply) {
+fn read_body(text: &str, response: &mut CallerResponse) {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     match value["choices"][0]["message"]["content"].as_str() {
         Some(content) => {
-            reply.text = content.to_string();
-            reply.whole = true;
-            read_usage(&value, reply);
+            response.text = content.to_string();
+            response.complete = true;
+            read_usage(&value, response);
         }
-        None => reply.text = text.to_string(),
+        None => response.text = text.to_string(),
     }
 }
--- a/crates/stacktack-lab/src/capacity.rs
+++ b/crates/stacktack-lab/src/capacity.rs
@@ -19,7 +19,7 @@
 use stacktack_wire::identity::{ConfigurationVersion, Incarnation};
 
 use crate::error::LabError;
-use crate::fleet::{document_of, zone_of, FleetPlan};
+use crate::fleet::{fleet_document, zone_of, FleetPlan};
 use crate::usage::resident_megabytes;
 
 /// Time between ticks of each control state, as in the binaries.
@@ -192,7 +192,7 @@
             version: ConfigurationVersion(1),
             author: String::from("lab"),
             change_id: String::from("first"),
-            difference: Difference::between(&Default::default(), &document_of(&plan)),
+            difference: Difference::between(&Default::default(), &fleet_document(&plan)),
         };
         let everyone: Vec<MemberInformation> = (0..size).map(|id| information(id, size)).collect();
         let mut random = ChaCha8Rng::seed_from_u64(1);
--- a/crates/stacktack-lab/src/demo.rs
+++ b/crates/stacktack-lab/src/demo.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use stacktack_standins::response::service_response;
 
-use crate::caller::{Caller, Chat, ExpectedAnswers, Reply};
+use crate::caller::{Caller, CallerResponse, Chat, ExpectedResponses};
 use crate::error::LabError;
 use crate::fleet::{read_json, tenant_key, Fleet, FleetPlan, MODEL, SERVICE};
 
@@ -36,17 +36,17 @@
 }
 
 impl Tally {
-    fn add(&mut self, reply: &Reply, own: bool, reusable: u64) {
+    fn add(&mut self, response: &CallerResponse, own: bool, reusable: u64) {
         self.asked += 1;
-        if reply.status != 200 {
+        if response.status != 200 {
             self.refused += 1;
-        } else if reply.whole && own {
+        } else if response.complete && own {
             self.whole += 1;
         } else {
             self.wrong += 1;
         }
-        self.prompt_tokens += reply.prompt_tokens;
-        self.cached_tokens += reply.cached_tokens;
+        self.prompt_tokens += response.prompt_tokens;
+        self.cached_tokens += response.cached_tokens;
         self.reusable_tokens += reusable;
     }
 }
@@ -84,7 +84,7 @@
     fleet.stop()?;
     println!("agents and routers stopped cleanly");
     if wrong > 0 {
-        return Err(LabError::WrongAnswers(wrong));
+        return Err(LabError::WrongResponses(wrong));
     }
     Ok(())
 }
@@ -116,26 +116,30 @@
     for turn in 0..TURNS {
         let stream = turn % 2 == 0;
         let turns = chats.iter_mut().enumerate().map(|(number, chat)| {
-            chat.ask(&format!("question {turn} of {}", chat.id));
+            chat.add_user_message(&format!("question {turn} of {}", chat.id));
             let caller = &callers[(number + turn) % callers.len()];
             let body = chat.body(MODEL, stream, ANSWER_TOKENS);
             let key = tenant_key(&chat.tenant);
             async move {
-                let expected = ExpectedAnswers::of(&body)?;
-                let reply = caller.complete(chat, &key, body, &[]).await?;
-                Ok::<_, LabError>((number, reply, expected))
+                let expected = ExpectedResponses::of(&body)?;
+                let response = caller.complete(chat, &key, body, &[]).await?;
+                Ok::<_, LabError>((number, response, expected))
             }
         });
         for result in join_all(turns).await {
-            let (number, reply, expected) = result?;
+            let (number, response, expected) = result?;
             let tally = if stream {
                 &mut streamed
             } else {
                 &mut whole_bodies
             };
-            tally.add(&reply, expected.is_whole(&reply.text), reusable[number]);
-            reusable[number] = reply.prompt_tokens + u64::from(ANSWER_TOKENS);
-            chats[number].take_answer(&reply.text);
+            tally.add(
+                &response,
+                expected.is_complete(&response.text),
+                reusable[number],
+            );
+            reusable[number] = response.prompt_tokens + u64::from(ANSWER_TOKENS);
+            chats[number].add_response(&response.text);
         }
     }
     let skew = generated_skew(fleet).await?;
@@ -166,10 +170,10 @@
         let key = format!("demo-{number}");
         let headers = [("idempotency-key", key.as_str())];
         let tenant = tenant_key("tenant-1");
-        let reply = caller
+        let response = caller
             .call_service("POST", &path, &tenant, &headers, body)
             .await?;
-        tally.add(&reply, reply.text == expected, 0);
+        tally.add(&response, response.text == expected, 0);
     }
     Ok(tally)
 }
--- a/crates/stacktack-lab/src/emulator/callers.rs
+++ b/crates/stacktack-lab/src/emulator/callers.rs
@@ -19,7 +19,7 @@
 use super::event::Event;
 use super::process::ProcessId;
 use super::Emulator;
-use crate::caller::{Chat, ExpectedAnswers};
+use crate::caller::{Chat, ExpectedResponses};
 use crate::fleet::{MODEL, SERVICE};
 
 /// End of a whole event stream.
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub enum Expected {
     /// One of an engine's, one for each attempt.
-    Chat(ExpectedAnswers),
+    Chat(ExpectedResponses),
     /// A service's.
     Service(String),
 }
@@ -132,8 +132,8 @@
         match &self.expected {
             Expected::Service(answer) if whole => answer == text,
             Expected::Service(answer) => answer.starts_with(text),
-            Expected::Chat(answers) if whole => answers.is_whole(text),
-            Expected::Chat(answers) => answers.is_beginning(text),
+            Expected::Chat(answers) if whole => answers.is_complete(text),
+            Expected::Chat(answers) => answers.is_prefix(text),
         }
     }
 }
@@ -176,7 +176,7 @@
         if let Some((load, chat)) = held.chat {
             let got = held.got.strip_suffix(STREAM_END).unwrap_or(&held.got);
             let text = String::from_utf8_lossy(got).into_owned();
-            self.chats[load][chat].take_answer(&text);
+            self.chats[load][chat].add_response(&text);
         }
     }
 
@@ -309,9 +309,9 @@
         stream: bool,
     ) -> Option<(Request, CallerRequest)> {
         let chat = &mut self.callers.chats[arrival.load][index];
-        chat.ask(&format!("question {}", arrival.number));
+        chat.add_user_message(&format!("question {}", arrival.number));
         let body = chat.body(MODEL, stream, load.tokens);
-        let expected = Expected::Chat(ExpectedAnswers::of(&body).ok()?);
+        let expected = Expected::Chat(ExpectedResponses::of(&body).ok()?);
         let key = key_of(load, arrival);
         let bytes = Bytes::from(body);
         let request = Request {
--- a/crates/stacktack-lab/src/emulator/mod.rs
+++ b/crates/stacktack-lab/src/emulator/mod.rs
@@ -34,7 +34,7 @@
 use stacktack_wire::gossip::MemberRole;
 use stacktack_wire::identity::NodeId;
 
-use crate::fleet::{document_of, zone_of, FleetPlan};
+use crate::fleet::{fleet_document, zone_of, FleetPlan};
 use callers::Callers;
 use event::{Event, Scheduled};
 use network::Network;
@@ -96,7 +96,7 @@
             by_node: HashMap::new(),
             by_gossip: HashMap::new(),
             network: Network::default(),
-            platform: Platform::new(&document_of(&plan.fleet)),
+            platform: Platform::new(&fleet_document(&plan.fleet)),
             operators: Vec::new(),
             callers: Callers::default(),
             observer: Observer::new(plan.fleet.load_cap),
--- a/crates/stacktack-lab/src/error.rs
+++ b/crates/stacktack-lab/src/error.rs
@@ -40,10 +40,10 @@
     Request(String),
     /// An answer was not the one that its request has.
     #[error("answers that are not their requests': {0}")]
-    WrongAnswers(usize),
+    WrongResponses(usize),
     /// Scenarios or schedules did not hold.
     #[error("{0} did not hold")]
-    PromisesBroken(usize),
+    ScenariosFailed(usize),
     /// A state chart is not usable.
     #[error(transparent)]
     Chart(#[from] stacktack_core::chart::ChartError),
--- a/crates/stacktack-lab/src/fleet.rs
+++ b/crates/stacktack-lab/src/fleet.rs
@@ -288,7 +288,7 @@
 }
 
 /// Configuration of a fleet.
-pub fn document_of(plan: &FleetPlan) -> Document {
+pub fn fleet_document(plan: &FleetPlan) -> Document {
     let engines = (1..=plan.engines).map(|number| BackEnd {
         name: format!("engine-{number}"),
         kind: BackEndKind::Engine,
@@ -432,7 +432,7 @@
                 Err(_) => actix_rt::time::sleep(READY_PAUSE).await,
             }
         };
-        apply_document(&client, &head, "lab", &document_of(plan)).await?;
+        apply_document(&client, &head, "lab", &fleet_document(plan)).await?;
         Ok(())
     }
 
--- a/crates/stacktack-lab/src/scenario/command.rs
+++ b/crates/stacktack-lab/src/scenario/command.rs
@@ -33,7 +33,7 @@
     if failed == 0 {
         return Ok(());
     }
-    Err(LabError::PromisesBroken(failed))
+    Err(LabError::ScenariosFailed(failed))
 }
 
 fn files_of(path: &Path) -> Result<Vec<PathBuf>, LabError> {
@@ -70,5 +70,5 @@
     if findings.is_empty() {
         return Ok(());
     }
-    Err(LabError::PromisesBroken(findings.len()))
+    Err(LabError::ScenariosFailed(findings.len()))
 }
--- a/crates/stacktack-lab/tests/processes/callers.rs
+++ b/crates/stacktack-lab/tests/processes/callers.rs
@@ -1,7 +1,7 @@
 //! What callers get: whole answers, typed problems, cancellation.
 
 use serde_json::Value;
-use stacktack_lab::caller::{Caller, Chat, ExpectedAnswers};
+use stacktack_lab::caller::{Caller, Chat, ExpectedResponses};
 use stacktack_lab::error::LabError;
 use stacktack_lab::fleet::{tenant_key, wait_until, Fleet, FleetPlan, FleetProcess, MODEL};
 
@@ -19,18 +19,18 @@
         let mut chat = Chat::new(String::from("chat"), String::from("tenant-1"), 200);
         let mut cached = 0;
         for turn in 0..4 {
-            chat.ask(&format!("question {turn}"));
+            chat.add_user_message(&format!("question {turn}"));
             let body = chat.body(MODEL, turn % 2 == 0, 32);
-            let expected = ExpectedAnswers::of(&body)?;
+            let expected = ExpectedResponses::of(&body)?;
             let caller = Caller::new(fleet.routers[turn % 2].address);
-            let reply = caller
+            let response = caller
                 .complete(&chat, &tenant_key("tenant-1"), body, &[])
                 .await?;
-            assert_eq!(reply.status, 200, "{}", reply.text);
-            assert!(reply.whole);
-            assert!(expected.is_whole(&reply.text));
-            cached = reply.cached_tokens;
-            chat.take_answer(&reply.text);
+            assert_eq!(response.status, 200, "{}", response.text);
+            assert!(response.complete);
+            assert!(expected.is_complete(&response.text));
+            cached = response.cached_tokens;
+            chat.add_response(&response.text);
         }
         assert!(cached >= 200, "only {cached} tokens were reused");
         fleet.stop()
@@ -166,31 +166,31 @@
             ),
         ];
         for (method, path, key, headers, body, status, kind) in cases {
-            let reply = caller
+            let response = caller
                 .call_service(method, path, key, &headers, body.to_string())
                 .await?;
-            assert_eq!(reply.status, status, "{kind}: {}", reply.text);
-            let problem: Value = serde_json::from_str(&reply.text).unwrap_or_default();
+            assert_eq!(response.status, status, "{kind}: {}", response.text);
+            let problem: Value = serde_json::from_str(&response.text).unwrap_or_default();
             assert_eq!(problem["type"], format!("/problems/{kind}"));
             assert_eq!(problem["outcome"], "not_run");
         }
-        let reply = caller
+        let response = caller
             .call_service("POST", chat_path, &key, &[json], good)
             .await?;
-        assert_eq!(reply.status, 200, "{}", reply.text);
+        assert_eq!(response.status, 200, "{}", response.text);
         fleet.stop()
     });
 }
 
 /// Sends raw bytes and reads until the router closes the connection or its
-/// first reply is whole.
+/// first response is whole.
 async fn raw_exchange(router: &FleetProcess, bytes: &[u8]) -> Result<String, LabError> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(router.address).await?;
     stream.write_all(bytes).await?;
-    let mut reply = vec![0; 4_096];
-    let length = stream.read(&mut reply).await?;
-    Ok(String::from_utf8_lossy(&reply[..length]).into_owned())
+    let mut response = vec![0; 4_096];
+    let length = stream.read(&mut response).await?;
+    Ok(String::from_utf8_lossy(&response[..length]).into_owned())
 }
 
 #[test]
@@ -205,15 +205,16 @@
         let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n\
             content-type: application/json\r\nauthorization: Bearer key-tenant-1\r\n";
         let slow = format!("{head}content-length: 100\r\n\r\n{{");
-        let reply = raw_exchange(router, slow.as_bytes()).await?;
-        assert!(reply.starts_with("HTTP/1.1 408"), "{reply}");
+        let response = raw_exchange(router, slow.as_bytes()).await?;
+        assert!(response.starts_with("HTTP/1.1 408"), "{response}");
         let padding = "x".repeat(200_000);
         let oversized = format!("{head}x-pad: {padding}\r\ncontent-length: 0\r\n\r\n");
-        let reply = raw_exchange(router, oversized.as_bytes()).await;
-        let refused = reply.is_err() || reply.is_ok_and(|text| !text.starts_with("HTTP/1.1 2"));
+        let response = raw_exchange(router, oversized.as_bytes()).await;
+        let refused =
+            response.is_err() || response.is_ok_and(|text| !text.starts_with("HTTP/1.1 2"));
         assert!(refused);
         let (expected, task) = start_long(router, "after", &[])?;
-        assert!(expected.is_whole(&finished(task).await?.text));
+        assert!(expected.is_complete(&finished(task).await?.text));
         fleet.stop()
     });
 }
--- a/crates/stacktack-lab/tests/processes/failures.rs
+++ b/crates/stacktack-lab/tests/processes/failures.rs
@@ -14,9 +14,9 @@
         let mut fleet = Fleet::start(&small_fleet()).await?;
         post(&fleet.engines[0], "/faults", "{\"break_after\":20}").await?;
         let (expected, task) = start_long(&fleet.routers[0], "broken", &[])?;
-        let reply = finished(task).await?;
-        assert!(reply.whole);
-        assert!(expected.is_whole(&reply.text));
+        let response = finished(task).await?;
+        assert!(response.complete);
+        assert!(expected.is_complete(&response.text));
         fleet.stop()
     });
 }
@@ -28,9 +28,9 @@
         let (expected, task) = start_long(&fleet.routers[0], "killed", &[])?;
         wait_generated(&fleet.engines[0], 10).await?;
         fleet.engines[0].signal("KILL")?;
-        let reply = finished(task).await?;
-        assert!(!reply.whole, "a cut stream ended with [DONE]");
-        assert!(expected.is_beginning(&reply.text));
+        let response = finished(task).await?;
+        assert!(!response.complete, "a cut stream ended with [DONE]");
+        assert!(expected.is_prefix(&response.text));
         Ok(())
     });
 }
@@ -46,7 +46,9 @@
         let (_, task) = start_long(&fleet.routers[0], "orphan", &[])?;
         wait_generated(&fleet.engines[0], 3).await?;
         fleet.routers[0].signal("KILL")?;
-        assert!(finished(task).await.map_or(true, |reply| !reply.whole));
+        assert!(finished(task)
+            .await
+            .map_or(true, |response| !response.complete));
         wait_until(&fleet.engines[0], "/observed", |observed| {
             observed["cancelled"] == 1
         })
@@ -72,13 +74,13 @@
             .await?;
         assert_eq!(warm.status, 200, "{}", warm.text);
         fleet.agents[0].signal("STOP")?;
-        let reply = caller
+        let response = caller
             .call_service("POST", &path, &key, &[], String::from("frozen"))
             .await?;
         fleet.agents[0].signal("CONT")?;
-        let problem: Value = serde_json::from_str(&reply.text).unwrap_or_default();
-        assert_eq!(problem["outcome"], "unknown", "{}", reply.text);
-        assert!(reply.total < Duration::from_secs(20));
+        let problem: Value = serde_json::from_str(&response.text).unwrap_or_default();
+        assert_eq!(problem["outcome"], "unknown", "{}", response.text);
+        assert!(response.total < Duration::from_secs(20));
         wait_until(&fleet.agents[0], "/status", |status| {
             status["in_flight"] == 0
         })
@@ -109,10 +111,10 @@
         let caller = Caller::new(router.address);
         let path = format!("/services/{SERVICE}/entries");
         let tenant = tenant_key("tenant-1");
-        let reply = caller
+        let response = caller
             .call_service("POST", &path, &tenant, &[], String::from("entry"))
             .await?;
-        assert_eq!(reply.status, 200, "{}", reply.text);
+        assert_eq!(response.status, 200, "{}", response.text);
         fleet.stop()
     });
 }
--- a/crates/stacktack-lab/tests/processes/fixture.rs
+++ b/crates/stacktack-lab/tests/processes/fixture.rs
@@ -2,7 +2,7 @@
 
 use std::future::Future;
 
-use stacktack_lab::caller::{Caller, Chat, ExpectedAnswers, Reply};
+use stacktack_lab::caller::{Caller, CallerResponse, Chat, ExpectedResponses};
 use stacktack_lab::error::LabError;
 use stacktack_lab::fleet::{
     read_json, tenant_key, wait_until, Fleet, FleetPlan, FleetProcess, MODEL, SERVICE,
@@ -47,22 +47,22 @@
     .await
 }
 
-/// Starts a long streamed answer; returns its expected text and its reply.
+/// Starts a long streamed answer; returns its expected text and its response.
 pub fn start_long(
     router: &FleetProcess,
     id: &str,
     headers: &'static [(&'static str, &'static str)],
 ) -> Result<
     (
-        ExpectedAnswers,
-        actix_rt::task::JoinHandle<Result<Reply, LabError>>,
+        ExpectedResponses,
+        actix_rt::task::JoinHandle<Result<CallerResponse, LabError>>,
     ),
     LabError,
 > {
     let mut chat = Chat::new(id.to_string(), String::from("tenant-1"), 40);
-    chat.ask("tell me all");
+    chat.add_user_message("tell me all");
     let body = chat.body(MODEL, true, LONG_ANSWER);
-    let expected = ExpectedAnswers::of(&body)?;
+    let expected = ExpectedResponses::of(&body)?;
     let caller = Caller::new(router.address);
     let task = actix_rt::spawn(async move {
         let key = tenant_key("tenant-1");
@@ -71,10 +71,10 @@
     Ok((expected, task))
 }
 
-/// The reply that a task waits for.
+/// The response that a task waits for.
 pub async fn finished(
-    task: actix_rt::task::JoinHandle<Result<Reply, LabError>>,
-) -> Result<Reply, LabError> {
+    task: actix_rt::task::JoinHandle<Result<CallerResponse, LabError>>,
+) -> Result<CallerResponse, LabError> {
     task.await
         .map_err(|error| LabError::Request(error.to_string()))?
 }
@@ -102,7 +102,7 @@
 }
 
 /// One keyed call.
-pub async fn call_once(fleet: &Fleet, key: &str) -> Result<Reply, LabError> {
+pub async fn call_once(fleet: &Fleet, key: &str) -> Result<CallerResponse, LabError> {
     let caller = Caller::new(fleet.routers[0].address);
     let path = format!("/services/{SERVICE}/entries");
     let headers = [("idempotency-key", key)];
--- a/crates/stacktack-lab/tests/processes/keys.rs
+++ b/crates/stacktack-lab/tests/processes/keys.rs
@@ -28,15 +28,15 @@
             callers[number % 2].call_service("POST", &path, &key, &headers, String::from("entry"))
         });
         let mut answered = 0;
-        for reply in futures_util::future::join_all(calls).await {
-            let reply = reply?;
+        for response in futures_util::future::join_all(calls).await {
+            let response = response?;
             assert!(
-                matches!(reply.status, 200 | 409),
+                matches!(response.status, 200 | 409),
                 "{}: {}",
-                reply.status,
-                reply.text
+                response.status,
+                response.text
             );
-            answered += usize::from(reply.status == 200);
+            answered += usize::from(response.status == 200);
         }
         assert_eq!(answered, 1);
         assert_eq!(service_runs(&fleet).await?, 1);
--- a/crates/stacktack-lab/tests/processes/stops.rs
+++ b/crates/stacktack-lab/tests/processes/stops.rs
@@ -27,9 +27,9 @@
         fleet.agents[0].signal("TERM")?;
         fleet.routers[0].signal("TERM")?;
         for (expected, task) in streams {
-            let reply = finished(task).await?;
-            assert!(reply.whole);
-            assert!(expected.is_whole(&reply.text));
+            let response = finished(task).await?;
+            assert!(response.complete);
+            assert!(expected.is_complete(&response.text));
         }
         fleet.agents[0].wait()?;
         fleet.routers[0].wait()?;
@@ -48,8 +48,8 @@
         post(&fleet.agents[0], "/drain", "").await?;
         for number in 0..6 {
             let (expected, task) = start_long(&fleet.routers[0], &format!("d-{number}"), &[])?;
-            let reply = finished(task).await?;
-            assert!(expected.is_whole(&reply.text));
+            let response = finished(task).await?;
+            assert!(expected.is_complete(&response.text));
         }
         let observed = read_json(&fleet.engines[0], "/observed").await?;
         assert_eq!(observed["generated_tokens"], 0);
