--- a/crates/stacktack-lab/src/app.rs
+++ b/crates/stacktack-lab/src/app.rs
@@ -1,4 +1,4 @@
-//! Reading the command line and running a command.
+//! Reads the command line and runs a command.
 
 use stacktack_core::protection::Protection;
 use stacktack_node::logging;
@@ -12,7 +12,7 @@
 
 const FLAGS: &[Flag] = &[
     Flag::switch("keep", "demo: leave the fleet up and print its addresses"),
-    Flag::with_default("rate", "NUMBER", "200", "load: requests a second"),
+    Flag::with_default("rate", "NUMBER", "200", "load: requests per second"),
     Flag::with_default(
         "seconds",
         "NUMBER",
@@ -23,13 +23,13 @@
         "streams",
         "NUMBER",
         "500",
-        "load: streams open in the throughput phase",
+        "load: number of streams open in the throughput phase",
     ),
     Flag::with_default(
         "break",
-        "RULE",
+        "PROTECTION",
         "",
-        "scenario, explore: the protection to switch off",
+        "scenario, explore: the protection to disable",
     ),
     Flag::with_default("seeds", "NUMBER", "200", "explore: number of schedules"),
     Flag::with_default(
@@ -44,16 +44,21 @@
         "24,150,600,1330",
         "capacity: numbers of processes",
     ),
-    Flag::with_default("tenants", "NUMBER", "200", "capacity: tenants configured"),
+    Flag::with_default(
+        "tenants",
+        "NUMBER",
+        "200",
+        "capacity: number of configured tenants",
+    ),
 ];
 
-const SUMMARY: &str = "Rehearses stacktack.
+const SUMMARY: &str = "Runs fleets of stacktack to test and measure them.
 
 Commands:
   demo            start a small fleet of processes, send chats through it, print a table
-  load            measure what router and agent add, against the same load sent straight
-  scenario PATH   run a scenario file, or all of a folder, on virtual time
-  explore         run fault schedules drawn at random, print those that fail
+  load            measure what router and agent add to the same load sent directly to engines
+  scenario PATH   run a scenario file, or all in a directory, on virtual time
+  explore         run random fault schedules, print those that fail
   capacity        measure control traffic, processor time and memory at several sizes";
 
 /// Runs the lab; returns its exit code.
@@ -80,7 +85,7 @@
 struct Options {
     keep: bool,
     load: LoadPlan,
-    broken: Option<Protection>,
+    disabled: Option<Protection>,
     seeds: u64,
     first_seed: u64,
     sizes: Vec<usize>,
@@ -89,12 +94,16 @@
 
 impl Options {
     fn read(settings: &mut Settings) -> Self {
-        let rules: Vec<(String, Option<Protection>)> = Protection::ALL
+        let names: Vec<(String, Option<Protection>)> = Protection::ALL
             .iter()
-            .map(|rule| (rule.to_string(), Some(*rule)))
+            .map(|protection| (protection.to_string(), Some(*protection)))
             .collect();
         let mut choices: Vec<(&str, Option<Protection>)> = vec![("", None)];
-        choices.extend(rules.iter().map(|(name, rule)| (name.as_str(), *rule)));
+        choices.extend(
+            names
+                .iter()
+                .map(|(name, protection)| (name.as_str(), *protection)),
+        );
         Options {
             keep: settings.switch("keep"),
             load: LoadPlan {
@@ -102,7 +111,7 @@
                 seconds: settings.number("seconds", 1..=3_600),
                 streams: settings.number("streams", 1..=100_000),
             },
-            broken: settings.choice("break", &choices),
+            disabled: settings.choice("break", &choices),
             seeds: settings.number("seeds", 1..=1_000_000),
             first_seed: settings.number("first-seed", 0..=u64::MAX / 2),
             sizes: settings.numbers("sizes", 2..=10_000),
@@ -116,15 +125,15 @@
     match words.as_slice() {
         ["demo"] => demo::run(options.keep).await,
         ["load"] => load::run(&options.load).await,
-        ["scenario", path] => command::run_path(path, options.broken),
+        ["scenario", path] => command::run_path(path, options.disabled),
         ["explore"] => {
             let seeds = options.first_seed..options.first_seed + options.seeds;
-            command::explore(seeds, options.broken)
+            command::explore(seeds, options.disabled)
         }
         ["capacity"] => capacity::run(&options.sizes, options.tenants, options.load.seconds),
-        [] => Err(LabError::Usage(String::from("no command"))),
+        [] => Err(LabError::Usage(String::from("no command given"))),
         other => Err(LabError::Usage(format!(
-            "{} is no command",
+            "unknown command {}",
             other.join(" ")
         ))),
     }
--- a/crates/stacktack-lab/src/caller.rs
+++ b/crates/stacktack-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that check each answer against its request.
+//! HTTP callers and the responses that their requests should get.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,18 +10,18 @@
 
 use crate::error::LabError;
 
-/// A chat that returns: each turn's prompt holds all turns before.
+/// A chat of several turns; the prompt of each turn contains all earlier turns.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// Identifier.
+    /// Identifier, unique in a fleet.
     pub id: String,
-    /// Tenant that it belongs to.
+    /// Name of the tenant that the chat belongs to.
     pub tenant: String,
     messages: Vec<Value>,
 }
 
 impl Chat {
-    /// A chat that begins with a system message of some words.
+    /// A chat that begins with a system message of `words` words.
     pub fn new(id: String, tenant: String, words: usize) -> Self {
         let text: Vec<String> = (0..words).map(|word| format!("{id}w{word}")).collect();
         Chat {
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Adds the caller's next message.
+    /// Adds the next message of the user.
     pub fn add_user_message(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "user", "content": text }));
     }
 
-    /// Adds the engine's answer.
+    /// Adds the text of the engine's response.
     pub fn add_response(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "assistant", "content": text }));
     }
 
-    /// Body of a completion request.
+    /// Body of a completion request with the messages so far.
     pub fn body(&self, model: &str, stream: bool, max_tokens: u32) -> String {
         json!({
             "model": model,
@@ -55,63 +55,65 @@
     }
 }
 
-/// Attempts of one request that a caller reckons with.
+/// Number of attempts of one request whose responses count as expected.
 const MAX_ATTEMPTS: u16 = 24;
 
-/// The answers that a request may get: one for each attempt.
+/// Responses that a request may get: one for each attempt, since the engine stand-in derives the
+/// text from the prompt and the number of the attempt.
 #[derive(Clone, Debug)]
 pub struct ExpectedResponses {
     prompt: Vec<u64>,
-    length: u32,
+    length_tokens: u32,
 }
 
 impl ExpectedResponses {
-    /// The answers to a body.
+    /// The responses to a request with this body.
     pub fn of(body: &str) -> Result<Self, LabError> {
         let request: ChatRequest =
             serde_json::from_str(body).map_err(|error| LabError::Request(error.to_string()))?;
         Ok(ExpectedResponses {
             prompt: request.prompt_tokens(),
-            length: request.response_length(),
+            length_tokens: request.response_length(),
         })
     }
 
-    /// Whether a text is the whole answer of one attempt.
+    /// Whether a text is the complete response of one attempt.
     pub fn is_complete(&self, text: &str) -> bool {
-        self.texts().any(|answer| answer == text)
+        self.texts().any(|response| response == text)
     }
 
-    /// Whether a text is the beginning of one attempt's answer.
+    /// Whether a text is the beginning of the response of one attempt.
     pub fn is_prefix(&self, text: &str) -> bool {
-        self.texts().any(|answer| answer.starts_with(text))
+        self.texts().any(|response| response.starts_with(text))
     }
 
     fn texts(&self) -> impl Iterator<Item = String> + '_ {
         (0..MAX_ATTEMPTS)
-            .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length))
+            .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length_tokens))
     }
 }
 
-/// What a caller got.
+/// Response as a caller received it.
 #[derive(Clone, Debug, Default)]
 pub struct CallerResponse {
     /// HTTP status.
     pub status: u16,
-    /// Text of the answer, or body of a problem.
+    /// Text of the response, or the whole body if it is not a completion.
     pub text: String,
-    /// Whether the answer is whole.
+    /// Whether the response arrived to its end; false also for a problem in response to a
+    /// completion request.
     pub complete: bool,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt, as reported in the usage.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that were reused.
+    /// Number of tokens of the prompt that the engine had cached, as reported in the usage.
     pub cached_tokens: u64,
-    /// `Stacktack-Decision`.
+    /// Value of the `Stacktack-Decision` header; empty without one.
     pub decision: String,
-    /// `Retry-After` in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
-    /// Time to the first token, for streams.
+    /// Time from the call to the first bytes of the body; zero for plain services.
     pub first_token: Duration,
-    /// Time to the end.
+    /// Time from the call to the end of the response.
     pub total: Duration,
 }
 
@@ -123,7 +125,7 @@
 }
 
 impl Caller {
-    /// A caller of an address, without a time limit.
+    /// A caller of an address, without a timeout.
     pub fn new(address: SocketAddr) -> Self {
         Caller {
             client: Client::builder()
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Sends a completion request and reads the whole response.
+    /// Sends a completion request and reads the response to its end.
     pub async fn complete(
         &self,
         chat: &Chat,
@@ -169,7 +171,7 @@
         };
         let is_stream = header("content-type").is_some_and(|kind| kind.starts_with("text/event"));
         let mut bytes = Vec::new();
-        let mut broke = false;
+        let mut interrupted = false;
         while let Some(chunk) = http_response.next().await {
             match chunk {
                 Ok(chunk) => {
@@ -179,7 +181,7 @@
                     bytes.extend_from_slice(&chunk);
                 }
                 Err(_) => {
-                    broke = true;
+                    interrupted = true;
                     break;
                 }
             }
@@ -191,11 +193,11 @@
         } else {
             read_body(&text, &mut response);
         }
-        response.complete &= !broke;
+        response.complete &= !interrupted;
         Ok(response)
     }
 
-    /// Sends a call to a plain service and reads the whole response.
+    /// Sends a call to a plain service and reads the response to its end.
     pub async fn call_service(
         &self,
         method: &str,
@@ -207,7 +209,7 @@
         let begin = Instant::now();
         let method = method
             .parse()
-            .map_err(|_| LabError::Request(format!("{method} is no method")))?;
+            .map_err(|_| LabError::Request(format!("invalid method {method}")))?;
         let mut request = self
             .client
             .request(method, format!("{}{path}", self.base))
--- a/crates/stacktack-lab/src/capacity.rs
+++ b/crates/stacktack-lab/src/capacity.rs
@@ -1,6 +1,7 @@
-//! Control traffic, processor time and memory of the real control code at
-//! several fleet sizes: hollow processes that share one process, on virtual
-//! time, with the processor time of each call measured.
+//! Control traffic, processor time and memory of the control code at several fleet sizes.
+//!
+//! The control states of all members of a fleet share one process and run on virtual time; the
+//! real time that each call takes is counted as its processor time.
 
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -22,21 +23,22 @@
 use crate::fleet::{fleet_document, zone_of, FleetPlan};
 use crate::usage::resident_megabytes;
 
-/// Time between ticks of each control state, as in the binaries.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two ticks of each control state, as in the binaries.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Network delay of each datagram.
-const DELAY: Duration = Duration::from_millis(1);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 
-/// Time before the change is accepted.
+/// Time from the start of a fleet until the configuration change is accepted.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// Bytes of one read of the platform, headers included.
+/// Bytes of one read from the platform, headers included.
 const READ_BYTES: usize = 600;
 
-/// Processes that are told of the change by its operator.
-const HAND_OVERS: usize = 5;
+/// Number of processes to which the operator sends the accepted change.
+const INFORMED_PROCESSES: usize = 5;
 
+/// A datagram in flight.
 struct Delivery {
     at: Time,
     sequence: u64,
@@ -66,33 +68,47 @@
     }
 }
 
-/// Figures at one size.
+/// Results at one fleet size.
 struct Figures {
     processes: usize,
-    bytes_mean: f64,
-    bytes_most: f64,
+    /// Mean control traffic of a process, sent and received.
+    mean_bytes_per_second: f64,
+    /// Control traffic of the process that has the most.
+    max_bytes_per_second: f64,
+    /// Fraction of a core that the calls of a process take, on average.
     core_share: f64,
+    /// Memory of a process, on average.
     kilobytes: f64,
-    in_force: Option<Duration>,
+    /// Time from the acceptance of the change until it is in force at all processes; `None` if it
+    /// is not in force at some.
+    in_force_after: Option<Duration>,
+    /// Reads of all processes from the platform.
     reads_per_second: f64,
-    known: usize,
+    /// Minimum over all processes of the number of members that the process knows.
+    min_known_members: usize,
 }
 
-struct Hollow {
+/// Control states of a fleet whose network and platform are simulated.
+struct SimulatedFleet {
     now: Time,
     controls: Vec<Control>,
+    /// Time of the next tick of each control state.
     next_tick: Vec<Time>,
+    /// Index of each process by its gossip address.
     by_gossip: HashMap<SocketAddr, usize>,
-    queue: BinaryHeap<Delivery>,
+    in_flight: BinaryHeap<Delivery>,
     sequence: u64,
     head: HeadRow,
     changes: Vec<Change>,
     reads: u64,
-    spent: Duration,
-    in_force: Vec<Option<Time>>,
+    /// Sum of the real times that the calls of all control states took.
+    processor_time: Duration,
+    /// When the change came into force at each process; `None` where it is not in force.
+    in_force_at: Vec<Option<Time>>,
 }
 
-/// Measures each size and prints a table.
+/// Measures each fleet size and prints a table. `seconds` is the length of a measurement, which
+/// begins with a change of the configuration.
 pub fn run(sizes: &[usize], tenants: usize, seconds: u64) -> Result<(), LabError> {
     println!("{tenants} tenants configured");
     println!(
@@ -101,20 +117,20 @@
     );
     for size in sizes {
         let figures = measure(*size, tenants, Duration::from_secs(seconds))?;
-        let in_force = figures.in_force.map_or_else(
+        let in_force = figures.in_force_after.map_or_else(
             || String::from("not all"),
-            |took| format!("{:.2} s", took.as_secs_f64()),
+            |after| format!("{:.2} s", after.as_secs_f64()),
         );
         println!(
             "{:>9} {:>9.0} {:>9.0} {:>9.3} {:>9.0} {:>10} {:>8.1} {:>7}",
             figures.processes,
-            figures.bytes_mean,
-            figures.bytes_most,
+            figures.mean_bytes_per_second,
+            figures.max_bytes_per_second,
             figures.core_share * 100.0,
             figures.kilobytes,
             in_force,
             figures.reads_per_second,
-            figures.known
+            figures.min_known_members
         );
     }
     Ok(())
@@ -122,38 +138,38 @@
 
 fn measure(size: usize, tenants: usize, length: Duration) -> Result<Figures, LabError> {
     let before = resident_megabytes(std::process::id())?;
-    let mut fleet = Hollow::new(size, tenants);
+    let mut fleet = SimulatedFleet::new(size, tenants);
     fleet.run_until(Time::default() + WARM_UP);
-    let bytes_before = fleet.bytes();
-    let spent_before = fleet.spent;
+    let bytes_before = fleet.control_bytes();
+    let processor_time_before = fleet.processor_time;
     let reads_before = fleet.reads;
     let accepted_at = fleet.accept_change();
     fleet.run_until(accepted_at + length);
     let seconds = length.as_secs_f64();
     let rates: Vec<f64> = fleet
-        .bytes()
+        .control_bytes()
         .iter()
         .zip(&bytes_before)
         .map(|(after, before)| (after - before) as f64 / seconds)
         .collect();
     let after = resident_megabytes(std::process::id())?;
-    let last = fleet
-        .in_force
+    let in_force_at = fleet
+        .in_force_at
         .iter()
         .copied()
         .collect::<Option<Vec<Time>>>();
-    let spent = (fleet.spent - spent_before).as_secs_f64();
+    let processor_seconds = (fleet.processor_time - processor_time_before).as_secs_f64();
     Ok(Figures {
         processes: size,
-        bytes_mean: rates.iter().sum::<f64>() / size as f64,
-        bytes_most: rates.iter().copied().fold(0.0, f64::max),
-        core_share: spent / seconds / size as f64,
+        mean_bytes_per_second: rates.iter().sum::<f64>() / size as f64,
+        max_bytes_per_second: rates.iter().copied().fold(0.0, f64::max),
+        core_share: processor_seconds / seconds / size as f64,
         kilobytes: (after - before) * 1_024.0 / size as f64,
-        in_force: last
+        in_force_after: in_force_at
             .and_then(|times| times.into_iter().max())
             .map(|at| at.since(accepted_at)),
         reads_per_second: (fleet.reads - reads_before) as f64 / seconds,
-        known: fleet
+        min_known_members: fleet
             .controls
             .iter()
             .map(|control| control.members().len())
@@ -162,7 +178,7 @@
     })
 }
 
-fn information(id: usize, size: usize) -> MemberInformation {
+fn member_information(id: usize, size: usize) -> MemberInformation {
     let is_router = id < size / 4;
     let (name, role) = if is_router {
         (format!("router-{id}"), MemberRole::Router)
@@ -181,7 +197,7 @@
     }
 }
 
-impl Hollow {
+impl SimulatedFleet {
     fn new(size: usize, tenants: usize) -> Self {
         let plan = FleetPlan {
             engines: size * 3 / 4,
@@ -194,15 +210,16 @@
             change_id: String::from("first"),
             difference: Difference::between(&Default::default(), &fleet_document(&plan)),
         };
-        let everyone: Vec<MemberInformation> = (0..size).map(|id| information(id, size)).collect();
+        let members: Vec<MemberInformation> =
+            (0..size).map(|id| member_information(id, size)).collect();
         let mut random = ChaCha8Rng::seed_from_u64(1);
         let now = Time::default();
-        let mut fleet = Hollow {
+        let mut fleet = SimulatedFleet {
             now,
             controls: Vec::new(),
             next_tick: Vec::new(),
             by_gossip: HashMap::new(),
-            queue: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             sequence: 0,
             head: HeadRow {
                 version: ConfigurationVersion(1),
@@ -211,10 +228,10 @@
             },
             changes: vec![first],
             reads: 0,
-            spent: Duration::ZERO,
-            in_force: vec![None; size],
+            processor_time: Duration::ZERO,
+            in_force_at: vec![None; size],
         };
-        for (id, own) in everyone.iter().enumerate() {
+        for (id, own) in members.iter().enumerate() {
             fleet.by_gossip.insert(own.gossip, id);
             let control = Control::new(
                 own.clone(),
@@ -224,16 +241,16 @@
                 now,
             );
             fleet.controls.push(control);
-            let phase = TICK.mul_f64(random.random_range(0.0..1.0));
+            let phase = TICK_INTERVAL.mul_f64(random.random_range(0.0..1.0));
             fleet.next_tick.push(now + phase);
         }
         for id in 0..size {
-            fleet.handle(id, ControlInput::Machines(everyone.clone()));
+            fleet.handle(id, ControlInput::Machines(members.clone()));
         }
         fleet
     }
 
-    fn bytes(&self) -> Vec<u64> {
+    fn control_bytes(&self) -> Vec<u64> {
         let total = |control: &Control| {
             let (sent, received) = control.byte_totals();
             sent + received
@@ -241,6 +258,7 @@
         self.controls.iter().map(total).collect()
     }
 
+    /// Runs ticks and datagrams up to a time.
     fn run_until(&mut self, end: Time) {
         loop {
             let tick = self
@@ -253,7 +271,7 @@
                 return;
             };
             while self
-                .queue
+                .in_flight
                 .peek()
                 .is_some_and(|next| next.at <= tick_at.min(end))
             {
@@ -264,7 +282,7 @@
                 return;
             }
             self.now = tick_at;
-            self.next_tick[id] = tick_at + TICK;
+            self.next_tick[id] = tick_at + TICK_INTERVAL;
             let load = (id % 7) as f64 * 100.0;
             self.handle(
                 id,
@@ -278,7 +296,7 @@
     }
 
     fn deliver(&mut self) {
-        let Some(delivery) = self.queue.pop() else {
+        let Some(delivery) = self.in_flight.pop() else {
             return;
         };
         self.now = delivery.at;
@@ -290,7 +308,7 @@
         self.handle(delivery.target, input);
     }
 
-    /// An operator sets a limit; returns the time of acceptance.
+    /// Accepts a change of a limit by an operator; returns the time of acceptance.
     fn accept_change(&mut self) -> Time {
         let held = self.controls[0].configuration().clone();
         let mut document = held.document.clone();
@@ -306,10 +324,10 @@
         self.head.change_id = change.change_id.clone();
         self.changes.push(change.clone());
         let accepted_at = self.now;
-        if let Some(news) = encode(&[change]) {
-            let step = (self.controls.len() / HAND_OVERS).max(1);
+        if let Some(changes) = encode(&[change]) {
+            let step = (self.controls.len() / INFORMED_PROCESSES).max(1);
             for id in (0..self.controls.len()).step_by(step) {
-                self.handle(id, ControlInput::Changes(news.clone()));
+                self.handle(id, ControlInput::Changes(changes.clone()));
             }
         }
         accepted_at
@@ -319,7 +337,7 @@
         let mut outputs = Vec::new();
         let begin = Instant::now();
         self.controls[id].handle(self.now, input, &mut outputs);
-        self.spent += begin.elapsed();
+        self.processor_time += begin.elapsed();
         for output in outputs {
             self.perform(id, output);
         }
@@ -348,7 +366,7 @@
             ControlOutput::ReadLeavingMachines => self.charge_read(id),
             ControlOutput::Configuration { configuration, .. } => {
                 if configuration.version == ConfigurationVersion(2) {
-                    self.in_force[id] = Some(self.now);
+                    self.in_force_at[id] = Some(self.now);
                 }
             }
             ControlOutput::ReadSnapshot(_)
@@ -368,11 +386,11 @@
         };
         let size = self.controls.len();
         self.sequence += 1;
-        self.queue.push(Delivery {
-            at: self.now + DELAY,
+        self.in_flight.push(Delivery {
+            at: self.now + NETWORK_DELAY,
             sequence: self.sequence,
             target,
-            source: information(id, size).gossip,
+            source: member_information(id, size).gossip,
             bytes: encode_message(&datagram).map_or(0, |bytes| bytes.len()),
             datagram,
         });
--- a/crates/stacktack-lab/src/demo.rs
+++ b/crates/stacktack-lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: a small fleet of processes, returning chats, a table.
+//! The demo: starts a small fleet, sends it chats of several turns and calls of a plain service,
+//! and prints a table of the results.
 
 use std::time::Instant;
 
@@ -9,39 +10,44 @@
 use crate::error::LabError;
 use crate::fleet::{read_json, tenant_key, Fleet, FleetPlan, MODEL, SERVICE};
 
-/// Chats of the demo.
+/// Number of chats.
 const CHATS: usize = 12;
 
-/// Turns of each chat.
+/// Number of turns of each chat.
 const TURNS: usize = 5;
 
-/// Words that each chat begins with.
+/// Number of words of the message that begins a chat.
 const FIRST_WORDS: usize = 300;
 
-/// Tokens of each answer.
-const ANSWER_TOKENS: u32 = 48;
+/// Number of tokens of each response.
+const RESPONSE_TOKENS: u32 = 48;
 
-/// Calls of the plain service.
+/// Number of calls of the plain service.
 const SERVICE_CALLS: usize = 10;
 
+/// Counts of requests and of their prompt tokens.
 #[derive(Default)]
 struct Tally {
-    asked: usize,
-    whole: usize,
+    requests: usize,
+    /// Responses that are complete and belong to their requests.
+    correct: usize,
+    /// Other responses with status 200.
     wrong: usize,
+    /// Responses with another status.
     refused: usize,
     prompt_tokens: u64,
     cached_tokens: u64,
+    /// Prompt tokens from earlier turns, which an engine could have cached.
     reusable_tokens: u64,
 }
 
 impl Tally {
-    fn add(&mut self, response: &CallerResponse, own: bool, reusable: u64) {
-        self.asked += 1;
+    fn add(&mut self, response: &CallerResponse, is_expected: bool, reusable: u64) {
+        self.requests += 1;
         if response.status != 200 {
             self.refused += 1;
-        } else if response.complete && own {
-            self.whole += 1;
+        } else if response.complete && is_expected {
+            self.correct += 1;
         } else {
             self.wrong += 1;
         }
@@ -51,8 +57,7 @@
     }
 }
 
-/// Runs the demo. With `keep` the fleet stays up and its addresses are
-/// printed.
+/// Runs the demo. With `keep` the fleet stays up and its addresses are printed.
 pub async fn run(keep: bool) -> Result<(), LabError> {
     let plan = FleetPlan::default();
     let mut fleet = Fleet::start(&plan).await?;
@@ -61,13 +66,13 @@
         plan.routers, plan.engines, plan.services
     );
     let begin = Instant::now();
-    let (streamed, whole_bodies, skew) = run_chats(&fleet, &plan).await?;
+    let (streamed, buffered, skew) = run_chats(&fleet, &plan).await?;
     let services = run_services(&fleet).await?;
-    print_tally("streamed answers", &streamed);
-    print_tally("whole-body answers", &whole_bodies);
+    print_tally("streamed responses", &streamed);
+    print_tally("buffered responses", &buffered);
     print_tally("service calls", &services);
-    let cached = streamed.cached_tokens + whole_bodies.cached_tokens;
-    let reusable = streamed.reusable_tokens + whole_bodies.reusable_tokens;
+    let cached = streamed.cached_tokens + buffered.cached_tokens;
+    let reusable = streamed.reusable_tokens + buffered.reusable_tokens;
     println!(
         "{:<22} {:.3}",
         "cache reuse",
@@ -75,7 +80,7 @@
     );
     println!("{:<22} {skew:.2}", "skew (busiest / mean)");
     print_control_bytes(&fleet, begin).await?;
-    let wrong = streamed.wrong + whole_bodies.wrong + services.wrong;
+    let wrong = streamed.wrong + buffered.wrong + services.wrong;
     if keep {
         print_addresses(&fleet);
         fleet.keep = true;
@@ -91,13 +96,13 @@
 
 fn print_tally(name: &str, tally: &Tally) {
     println!(
-        "{name:<22} {} asked, {} whole and right, {} wrong, {} refused",
-        tally.asked, tally.whole, tally.wrong, tally.refused
+        "{name:<22} {} requests, {} correct, {} wrong, {} refused",
+        tally.requests, tally.correct, tally.wrong, tally.refused
     );
 }
 
-/// Runs all turns of all chats; each turn goes through another router. Returns
-/// the tallies of streams and whole bodies and the skew of generated tokens.
+/// Runs all turns of all chats; each turn of a chat goes through another router. Returns the
+/// tallies of streamed and of buffered responses, and the skew of generated tokens.
 async fn run_chats(fleet: &Fleet, plan: &FleetPlan) -> Result<(Tally, Tally, f64), LabError> {
     let callers: Vec<Caller> = fleet
         .routers
@@ -111,14 +116,14 @@
         })
         .collect();
     let mut streamed = Tally::default();
-    let mut whole_bodies = Tally::default();
+    let mut buffered = Tally::default();
     let mut reusable = [0u64; CHATS];
     for turn in 0..TURNS {
         let stream = turn % 2 == 0;
         let turns = chats.iter_mut().enumerate().map(|(number, chat)| {
             chat.add_user_message(&format!("question {turn} of {}", chat.id));
             let caller = &callers[(number + turn) % callers.len()];
-            let body = chat.body(MODEL, stream, ANSWER_TOKENS);
+            let body = chat.body(MODEL, stream, RESPONSE_TOKENS);
             let key = tenant_key(&chat.tenant);
             async move {
                 let expected = ExpectedResponses::of(&body)?;
@@ -128,24 +133,21 @@
         });
         for result in join_all(turns).await {
             let (number, response, expected) = result?;
-            let tally = if stream {
-                &mut streamed
-            } else {
-                &mut whole_bodies
-            };
+            let tally = if stream { &mut streamed } else { &mut buffered };
             tally.add(
                 &response,
                 expected.is_complete(&response.text),
                 reusable[number],
             );
-            reusable[number] = response.prompt_tokens + u64::from(ANSWER_TOKENS);
+            reusable[number] = response.prompt_tokens + u64::from(RESPONSE_TOKENS);
             chats[number].add_response(&response.text);
         }
     }
     let skew = generated_skew(fleet).await?;
-    Ok((streamed, whole_bodies, skew))
+    Ok((streamed, buffered, skew))
 }
 
+/// Generated tokens of the engine with the most, relative to the mean of all engines.
 async fn generated_skew(fleet: &Fleet) -> Result<f64, LabError> {
     let mut generated = Vec::new();
     for engine in &fleet.engines {
@@ -155,7 +157,7 @@
     let mean = generated.iter().sum::<f64>() / generated.len().max(1) as f64;
     let busiest = generated
         .iter()
-        .fold(0.0, |most: f64, tokens| most.max(*tokens));
+        .fold(0.0, |max: f64, tokens| max.max(*tokens));
     Ok(busiest / mean.max(1.0))
 }
 
@@ -179,15 +181,15 @@
 }
 
 async fn print_control_bytes(fleet: &Fleet, begin: Instant) -> Result<(), LabError> {
-    let mut most = 0.0f64;
+    let mut max_bytes = 0.0f64;
     for process in fleet.routers.iter().chain(&fleet.agents) {
         let status = read_json(process, "/status").await?;
         let sent = status["control_bytes_sent"].as_f64().unwrap_or(0.0);
         let received = status["control_bytes_received"].as_f64().unwrap_or(0.0);
-        most = most.max(sent + received);
+        max_bytes = max_bytes.max(sent + received);
     }
     println!(
-        "{:<22} {most:.0} at the busiest process since its start ({:.1} s of chats)",
+        "{:<22} {max_bytes:.0} at the busiest process since its start ({:.1} s of chats)",
         "control bytes",
         begin.elapsed().as_secs_f64()
     );
--- a/crates/stacktack-lab/src/error.rs
+++ b/crates/stacktack-lab/src/error.rs
@@ -1,50 +1,50 @@
-//! Why a command of the lab failed.
+//! Errors of the lab's commands.
 
 use stacktack_node::client::PlatformError;
 use stacktack_node::configuration_store::StoreError;
 use thiserror::Error;
 
-/// A command of the lab failed.
+/// Why a command of the lab failed.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[error("{0}; --help lists the commands")]
     Usage(String),
     /// A program could not be started.
     #[error("{program} could not be started: {source}; build the workspace first")]
     Start {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A process did not become ready.
+    /// A process, given by name, did not become ready in time.
     #[error("{0} did not become ready")]
     NotReady(String),
-    /// A process did not stop cleanly.
+    /// A process did not exit with status 0.
     #[error("{name} ended with {status}")]
     UncleanStop {
-        /// The process.
+        /// Name of the process.
         name: String,
         /// Its exit status.
         status: String,
     },
-    /// A platform call failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// The configuration was not taken.
+    /// The configuration could not be read or applied.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A caller's request failed.
+    /// A request or another operation failed, for the given reason.
     #[error("request failed: {0}")]
     Request(String),
-    /// An answer was not the one that its request has.
-    #[error("answers that are not their requests': {0}")]
+    /// Number of responses that do not belong to their requests.
+    #[error("{0} responses do not match their requests")]
     WrongResponses(usize),
-    /// Scenarios or schedules did not hold.
-    #[error("{0} did not hold")]
+    /// Number of scenarios or fault schedules that failed.
+    #[error("{0} scenarios or schedules failed")]
     ScenariosFailed(usize),
-    /// A state chart is not usable.
+    /// A state chart is invalid.
     #[error(transparent)]
     Chart(#[from] stacktack_core::chart::ChartError),
     /// Input or output failed.
--- a/crates/stacktack-lab/src/fleet.rs
+++ b/crates/stacktack-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback addresses.
+//! A fleet of stacktack and stand-in processes on loopback addresses.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,36 +15,36 @@
 
 use crate::error::LabError;
 
-/// Longest wait for a fleet to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time for the configuration store, and for each process, to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between looks at a process that is not ready.
-const READY_PAUSE: Duration = Duration::from_millis(20);
+/// Time between two polls of a process that is not ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Model that every engine of a lab fleet serves.
 pub const MODEL: &str = "lab-model";
 
-/// Service that a lab fleet has.
+/// Plain service that a lab fleet has.
 pub const SERVICE: &str = "catalogue";
 
 /// Size and behaviour of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines, each with an agent.
+    /// Number of engines, each with an agent.
     pub engines: usize,
-    /// Plain services, each with an agent.
+    /// Number of instances of the plain service, each with an agent.
     pub services: usize,
-    /// Tenants; the key of `tenant-1` is `key-tenant-1`.
+    /// Number of tenants; the API key of `tenant-1` is `key-tenant-1`.
     pub tenants: usize,
-    /// Requests that run at once at an engine.
+    /// Number of requests that a back end may run at once.
     pub concurrency: u32,
-    /// Load cap.
+    /// Load cap of the configuration.
     pub load_cap: f64,
-    /// Further flags for each engine stand-in.
+    /// Additional flags of each engine stand-in.
     pub engine_flags: Vec<String>,
-    /// Further flags for each router.
+    /// Additional flags of each router.
     pub router_flags: Vec<String>,
 }
 
@@ -69,7 +69,7 @@
     pub name: String,
     /// Address that it serves on.
     pub address: SocketAddr,
-    /// Address for operators; that of the stand-ins is the same.
+    /// Address of the operator endpoint; for stand-ins, the same as `address`.
     pub operator: SocketAddr,
     child: Child,
 }
@@ -90,13 +90,13 @@
             Ok(())
         } else {
             Err(LabError::Request(format!(
-                "no signal reached {}",
+                "{} could not be signalled",
                 self.name
             )))
         }
     }
 
-    /// Waits for the process to end; an error when it does not end cleanly.
+    /// Waits for the process to end; an error if its exit status is not 0.
     pub fn wait(&mut self) -> Result<(), LabError> {
         let status = self.child.wait()?;
         if status.success() {
@@ -109,19 +109,19 @@
     }
 }
 
-/// Processes that are ended when the fleet is dropped.
+/// Processes of a fleet; they are killed when it is dropped.
 pub struct Fleet {
     /// The platform stand-in.
     pub platform: FleetProcess,
     /// Engine stand-ins.
     pub engines: Vec<FleetProcess>,
-    /// Service stand-ins.
+    /// Stand-ins of the plain service.
     pub services: Vec<FleetProcess>,
     /// Agents, those of the engines first.
     pub agents: Vec<FleetProcess>,
     /// Routers.
     pub routers: Vec<FleetProcess>,
-    /// Whether to leave the processes running on drop.
+    /// Whether the processes keep running when the fleet is dropped.
     pub keep: bool,
     addresses: AddressPool,
 }
@@ -138,49 +138,49 @@
             .chain(&mut self.routers);
         for process in all {
             if process.child.kill().is_err() {
-                log::debug!(target: "fleet", "{} had ended", process.name);
+                log::debug!(target: "fleet", "{} ended before", process.name);
             }
             if process.child.wait().is_err() {
-                log::debug!(target: "fleet", "{} was waited for before", process.name);
+                log::debug!(target: "fleet", "{} could not be waited for", process.name);
             }
         }
     }
 }
 
-/// Folder of the programs: that of the running one, or its parent for tests.
+/// Path of a program: in the directory of the running one or, for tests, in its parent.
 fn program_path(program: &str) -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
-    let folder = own.parent().map(PathBuf::from).unwrap_or_default();
-    let beside = folder.join(program);
-    if beside.exists() {
-        return beside;
+    let directory = own.parent().map(PathBuf::from).unwrap_or_default();
+    let path = directory.join(program);
+    if path.exists() {
+        return path;
     }
-    folder
+    directory
         .parent()
         .map(PathBuf::from)
         .unwrap_or_default()
         .join(program)
 }
 
-/// First port of a fleet's processes.
-const FIRST_PORT: u16 = 20_000;
+/// Port before the first that processes of a fleet use.
+const BASE_PORT: u16 = 20_000;
 
-/// Addresses for the processes of one fleet: a loopback address of its own,
-/// so that fleets started at the same time never meet, and a port for each.
+/// Socket addresses of one fleet: a loopback address of its own, so that fleets that run at the
+/// same time do not collide, and a port for each socket.
 pub struct AddressPool {
     host: [u8; 4],
     next_port: u16,
 }
 
 impl AddressPool {
-    /// Addresses of a new fleet.
+    /// Addresses for a new fleet.
     pub fn new() -> Self {
-        static FLEETS: AtomicU8 = AtomicU8::new(0);
-        let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
+        static FLEET_COUNT: AtomicU8 = AtomicU8::new(0);
+        let fleet = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let [_, _, high, low] = std::process::id().to_be_bytes();
         AddressPool {
             host: [127, high.max(2), low, fleet.saturating_add(1)],
-            next_port: FIRST_PORT,
+            next_port: BASE_PORT,
         }
     }
 
@@ -234,7 +234,7 @@
     start(program, name, address, address, &arguments)
 }
 
-/// Zone of the process with this number in its role.
+/// Zone of the process with this number among those of its role.
 pub fn zone_of(number: usize) -> String {
     format!("zone-{}", number % 2 + 1)
 }
@@ -259,7 +259,7 @@
         .collect()
 }
 
-/// Starts an agent before a back end.
+/// Starts an agent in front of a back end.
 pub fn start_agent(
     addresses: &mut AddressPool,
     platform: SocketAddr,
@@ -287,7 +287,7 @@
     start("stacktack-router", name, own[0], own[1], &arguments)
 }
 
-/// Configuration of a fleet.
+/// Configuration document of a fleet.
 pub fn fleet_document(plan: &FleetPlan) -> Document {
     let engines = (1..=plan.engines).map(|number| BackEnd {
         name: format!("engine-{number}"),
@@ -341,7 +341,7 @@
     }
 }
 
-/// Key of a lab tenant.
+/// API key of a tenant of a lab fleet.
 pub fn tenant_key(name: &str) -> String {
     format!("key-{name}")
 }
@@ -350,12 +350,12 @@
     /// Starts a fleet and waits until it is ready.
     pub async fn start(plan: &FleetPlan) -> Result<Self, LabError> {
         let mut addresses = AddressPool::new();
-        let lag = [String::from("--machine-lag-ms"), String::from("200")];
+        let flags = [String::from("--machine-lag-ms"), String::from("200")];
         let platform = start_standin(
             &mut addresses,
             "stacktack-platform-standin",
             "platform",
-            &lag,
+            &flags,
         )?;
         let mut fleet = Fleet {
             platform,
@@ -410,14 +410,14 @@
         Ok(())
     }
 
-    /// Starts one more router; it is not waited for.
+    /// Starts one more router, without waiting until it is ready.
     pub fn add_router(&mut self, name: &str) -> Result<&FleetProcess, LabError> {
         let number = self.routers.len() + 1;
         self.push_router(name, number, &[])?;
         Ok(&self.routers[number - 1])
     }
 
-    /// Client of the platform.
+    /// A client of the platform.
     pub fn client(&self) -> PlatformClient {
         PlatformClient::new(self.platform.address)
     }
@@ -428,8 +428,8 @@
         let head = loop {
             match read_head(&client).await {
                 Ok(head) => break head,
-                Err(error) if begin.elapsed() > READY_LIMIT => return Err(error.into()),
-                Err(_) => actix_rt::time::sleep(READY_PAUSE).await,
+                Err(error) if begin.elapsed() > READY_TIMEOUT => return Err(error.into()),
+                Err(_) => actix_rt::time::sleep(READY_POLL_INTERVAL).await,
             }
         };
         apply_document(&client, &head, "lab", &fleet_document(plan)).await?;
@@ -442,12 +442,12 @@
         }
         let agents = self.agents.len();
         for router in &self.routers {
-            wait_until(router, "/status", |status| heard_agents(status) >= agents).await?;
+            wait_until(router, "/status", |status| known_agents(status) >= agents).await?;
         }
         Ok(())
     }
 
-    /// Stops agents and routers with `TERM`, the routers first, then the rest.
+    /// Stops the routers and then the agents with `TERM`, one after another.
     pub fn stop(&mut self) -> Result<(), LabError> {
         for process in self.routers.iter_mut().chain(&mut self.agents) {
             process.signal("TERM")?;
@@ -457,34 +457,35 @@
     }
 }
 
-fn heard_agents(status: &serde_json::Value) -> usize {
+/// Number of agents in the status of a router.
+fn known_agents(status: &serde_json::Value) -> usize {
     status["agents"].as_array().map_or(0, Vec::len)
 }
 
-/// Reads a JSON body from a process's operator address; null when it is none.
+/// Reads a JSON body from the operator endpoint of a process; null if the body is not JSON.
 pub async fn read_json(process: &FleetProcess, path: &str) -> Result<serde_json::Value, LabError> {
     let client = PlatformClient::new(process.operator);
     let (_, body) = client.exchange("GET", path, None).await?;
     Ok(serde_json::from_slice(&body).unwrap_or_default())
 }
 
-/// Waits until a process answers a path with success and a body that is as
-/// wanted.
+/// Waits until the operator endpoint of a process responds to `GET path` with a success status and
+/// a body for which `is_wanted` holds.
 pub async fn wait_until(
     process: &FleetProcess,
     path: &str,
-    wanted: impl Fn(&serde_json::Value) -> bool,
+    is_wanted: impl Fn(&serde_json::Value) -> bool,
 ) -> Result<(), LabError> {
     let client = PlatformClient::new(process.operator);
     let begin = Instant::now();
-    while begin.elapsed() < READY_LIMIT {
+    while begin.elapsed() < READY_TIMEOUT {
         if let Ok((status, body)) = client.exchange("GET", path, None).await {
             let value = serde_json::from_slice(&body).unwrap_or_default();
-            if status.is_success() && wanted(&value) {
+            if status.is_success() && is_wanted(&value) {
                 return Ok(());
             }
         }
-        actix_rt::time::sleep(READY_PAUSE).await;
+        actix_rt::time::sleep(READY_POLL_INTERVAL).await;
     }
     Err(LabError::NotReady(process.name.clone()))
 }
--- a/crates/stacktack-lab/src/lib.rs
+++ b/crates/stacktack-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The rehearsal kit: demo, load, scenarios, experiments, capacity. It is
-//! never deployed.
+//! Test and measurement tool: a demo fleet, load measurements, fault scenarios on virtual time,
+//! exploration of random fault schedules, and capacity measurements. It is never deployed.
 
 pub mod app;
 pub mod caller;
--- a/crates/stacktack-lab/src/load.rs
+++ b/crates/stacktack-lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load on real processes, compared in one run with the same load
-//! sent straight to the engine stand-ins.
+//! Open-loop load on a fleet of processes, compared in one run with the same load sent directly to
+//! the engine stand-ins.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,48 +20,49 @@
 use crate::fleet::{tenant_key, Fleet, FleetPlan, MODEL};
 use crate::usage::{processor_time, resident_megabytes};
 
-/// Tokens of each answer in the latency phases.
-const ANSWER_TOKENS: u32 = 16;
+/// Number of tokens of each response in the latency phases.
+const RESPONSE_TOKENS: u32 = 16;
 
-/// Words that each chat begins with.
+/// Number of words of the message that begins a chat.
 const FIRST_WORDS: usize = 30;
 
-/// Largest time recorded, in microseconds.
-const MAXIMUM_MICROSECONDS: u64 = 60_000_000;
+/// Maximum latency that the histograms hold, in microseconds.
+const MAX_LATENCY_MICROSECONDS: u64 = 60_000_000;
 
-/// Threads that read streams in the throughput phase.
+/// Number of threads that read streams in the throughput phases.
 const READER_THREADS: usize = 4;
 
-/// Tokens of each answer in the throughput phase.
-const LONG_ANSWER_TOKENS: u32 = 100_000;
+/// Number of tokens requested for each response in the throughput phases.
+const LONG_RESPONSE_TOKENS: u32 = 100_000;
 
-/// Time for all streams of the throughput phase to open.
-const OPENING: Duration = Duration::from_secs(3);
+/// Time that a throughput phase waits for all streams to open.
+const STREAM_OPENING_TIME: Duration = Duration::from_secs(3);
 
-/// How much load.
+/// Amount and duration of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan {
-    /// Requests a second in the latency phases.
+    /// Requests per second in the latency phases.
     pub rate: f64,
     /// Length of each phase in seconds.
     pub seconds: u64,
-    /// Streams open in the throughput phase.
+    /// Number of streams open in the throughput phases.
     pub streams: usize,
 }
 
-struct Times {
+/// Times of the streams of one latency phase, in microseconds.
+struct Latencies {
     first_token: Histogram<u64>,
     total: Histogram<u64>,
     failed: u64,
 }
 
-impl Times {
+impl Latencies {
     fn new() -> Result<Self, LabError> {
         let histogram = || {
-            Histogram::new_with_bounds(1, MAXIMUM_MICROSECONDS, 3)
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, 3)
                 .map_err(|error| LabError::Request(error.to_string()))
         };
-        Ok(Times {
+        Ok(Latencies {
             first_token: histogram()?,
             total: histogram()?,
             failed: 0,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Runs all phases and prints their figures.
+/// Runs all phases and prints their results.
 pub async fn run(plan: &LoadPlan) -> Result<(), LabError> {
     run_latency(plan).await?;
     run_throughput(plan).await
@@ -91,7 +92,7 @@
     let direct = latency_phase(&engines, plan.rate, plan.seconds, "direct").await?;
     let routed = latency_phase(&routers, plan.rate, plan.seconds, "routed").await?;
     println!(
-        "{} requests a second, {} s each, {ANSWER_TOKENS} tokens each",
+        "{} requests a second, {} s each, {RESPONSE_TOKENS} tokens each",
         plan.rate, plan.seconds
     );
     println!(
@@ -99,15 +100,20 @@
         "ms", "direct", "routed", "added", "ratio"
     );
     for (name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-        let pair = |read: fn(&Times) -> &Histogram<u64>| {
-            let value = |times: &Times| read(times).value_at_quantile(quantile) as f64 / 1_000.0;
+        let pair = |read: fn(&Latencies) -> &Histogram<u64>| {
+            let value = |latencies: &Latencies| {
+                read(latencies).value_at_quantile(quantile) as f64 / 1_000.0
+            };
             (value(&direct), value(&routed))
         };
         print_pair(
             &format!("first token {name}"),
-            pair(|times| &times.first_token),
+            pair(|latencies| &latencies.first_token),
+        );
+        print_pair(
+            &format!("whole answer {name}"),
+            pair(|latencies| &latencies.total),
         );
-        print_pair(&format!("whole answer {name}"), pair(|times| &times.total));
     }
     println!("failed: direct {}, routed {}", direct.failed, routed.failed);
     fleet.stop()
@@ -136,15 +142,15 @@
     .to_vec()
 }
 
-/// Sends requests at exponential intervals, whatever became of earlier ones.
+/// Sends requests at exponentially distributed intervals, without waiting for earlier ones.
 async fn latency_phase(
     targets: &[SocketAddr],
     rate: f64,
     seconds: u64,
     name: &str,
-) -> Result<Times, LabError> {
+) -> Result<Latencies, LabError> {
     let client = client();
-    let times = Rc::new(RefCell::new(Times::new()?));
+    let latencies = Rc::new(RefCell::new(Latencies::new()?));
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let begin = Instant::now();
     let mut due = Duration::ZERO;
@@ -158,19 +164,19 @@
             String::from("tenant-1"),
             FIRST_WORDS,
         );
-        let task = time_stream(client.clone(), target, chat, begin + due, times.clone());
+        let task = time_stream(client.clone(), target, chat, begin + due, latencies.clone());
         tasks.push(actix_rt::spawn(task));
         let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
         due += Duration::from_secs_f64(-uniform.ln() / rate);
     }
     for task in tasks {
         if task.await.is_err() {
-            times.borrow_mut().failed += 1;
+            latencies.borrow_mut().failed += 1;
         }
     }
-    Rc::try_unwrap(times)
+    Rc::try_unwrap(latencies)
         .map(RefCell::into_inner)
-        .map_err(|_| LabError::Request(String::from("a request is still under way")))
+        .map_err(|_| LabError::Request(String::from("a request is still in flight")))
 }
 
 fn client() -> Client {
@@ -180,39 +186,41 @@
         .finish()
 }
 
+/// Sends one streamed request and records its times from `due`, so that a late send counts as
+/// latency.
 async fn time_stream(
     client: Client,
     target: SocketAddr,
     chat: Chat,
     due: Instant,
-    times: Rc<RefCell<Times>>,
+    latencies: Rc<RefCell<Latencies>>,
 ) {
     let request = client
         .post(format!("http://{target}/v1/chat/completions"))
         .content_type("application/json")
         .insert_header(("stacktack-chat", chat.id.as_str()))
         .bearer_auth(tenant_key(&chat.tenant))
-        .send_body(chat.body(MODEL, true, ANSWER_TOKENS));
+        .send_body(chat.body(MODEL, true, RESPONSE_TOKENS));
     let mut first = None;
-    let mut whole = false;
+    let mut complete = false;
     if let Ok(mut response) = request.await {
         let success = response.status().is_success();
         while let Some(Ok(chunk)) = response.next().await {
             first.get_or_insert_with(|| due.elapsed());
-            whole = success && chunk.ends_with(b"data: [DONE]\n\n");
+            complete = success && chunk.ends_with(b"data: [DONE]\n\n");
         }
     }
-    let mut times = times.borrow_mut();
-    match first.filter(|_| whole) {
+    let mut latencies = latencies.borrow_mut();
+    match first.filter(|_| complete) {
         Some(first) => {
-            times
+            latencies
                 .first_token
                 .saturating_record(first.as_micros() as u64);
-            times
+            latencies
                 .total
                 .saturating_record(due.elapsed().as_micros() as u64);
         }
-        None => times.failed += 1,
+        None => latencies.failed += 1,
     }
 }
 
@@ -249,14 +257,17 @@
     fleet.stop()
 }
 
+/// Results of one throughput phase.
 struct Throughput {
     tokens_per_second: f64,
     usages: Vec<Usage>,
 }
 
-/// What one process used over a phase.
+/// Processor time and memory of one process in a phase.
 struct Usage {
+    /// Processor time per elapsed time.
     cores: f64,
+    /// Resident memory at the end of the phase.
     megabytes: f64,
 }
 
@@ -264,8 +275,8 @@
     processes.iter().map(|id| processor_time(*id)).collect()
 }
 
-/// Opens all streams, counts tokens over the phase, then leaves; the engines'
-/// work is cancelled.
+/// Opens all streams, counts tokens during the phase, then closes the streams, which cancels the
+/// work of the engines.
 async fn throughput_phase(
     targets: &[SocketAddr],
     plan: &LoadPlan,
@@ -280,18 +291,18 @@
         let (tokens, stop) = (tokens.clone(), stop.clone());
         thread.spawn_fn(move || read_streams(targets, streams, &tokens, &stop));
     }
-    actix_rt::time::sleep(OPENING).await;
+    actix_rt::time::sleep(STREAM_OPENING_TIME).await;
     let before = processor_times(processes)?;
     let tokens_before = tokens.load(Ordering::Relaxed);
     let begin = Instant::now();
     actix_rt::time::sleep(Duration::from_secs(plan.seconds)).await;
-    let counted = tokens.load(Ordering::Relaxed) - tokens_before;
+    let received = tokens.load(Ordering::Relaxed) - tokens_before;
     let elapsed = begin.elapsed().as_secs_f64();
     let after = processor_times(processes)?;
     let mut usages = Vec::new();
-    for (position, id) in processes.iter().enumerate() {
+    for (index, id) in processes.iter().enumerate() {
         usages.push(Usage {
-            cores: (after[position] - before[position]).as_secs_f64() / elapsed,
+            cores: (after[index] - before[index]).as_secs_f64() / elapsed,
             megabytes: resident_megabytes(*id)?,
         });
     }
@@ -299,11 +310,11 @@
     for thread in threads {
         thread.stop();
         if thread.join().is_err() {
-            log::debug!(target: "load", "a reader thread failed");
+            log::debug!(target: "load", "a reader thread panicked");
         }
     }
     Ok(Throughput {
-        tokens_per_second: counted as f64 / elapsed,
+        tokens_per_second: received as f64 / elapsed,
         usages,
     })
 }
@@ -330,7 +341,7 @@
                 .content_type("application/json")
                 .insert_header(("stacktack-chat", chat.id.as_str()))
                 .bearer_auth(tenant_key(&chat.tenant))
-                .send_body(chat.body(MODEL, true, LONG_ANSWER_TOKENS));
+                .send_body(chat.body(MODEL, true, LONG_RESPONSE_TOKENS));
             let Ok(mut response) = request.await else {
                 return;
             };
--- a/crates/stacktack-lab/src/usage.rs
+++ b/crates/stacktack-lab/src/usage.rs
@@ -4,17 +4,18 @@
 
 use crate::error::LabError;
 
-/// Clock ticks a second in `/proc/{id}/stat` on Linux.
+/// Clock ticks per second in `/proc/{id}/stat` on Linux.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Place of user time among the fields behind the program's name.
+/// Index of the user time among the fields after the program's name in `/proc/{id}/stat`; the
+/// system time follows it.
 const USER_TIME_FIELD: usize = 11;
 
-/// Processor time of a process since its start.
+/// Processor time that a process has used since its start, in user and system mode.
 pub fn processor_time(id: u32) -> Result<Duration, LabError> {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    let behind_name = text.rsplit_once(')').map_or("", |(_, rest)| rest);
-    let ticks: u64 = behind_name
+    let after_name = text.rsplit_once(')').map_or("", |(_, rest)| rest);
+    let ticks: u64 = after_name
         .split_whitespace()
         .skip(USER_TIME_FIELD)
         .take(2)
--- a/crates/stacktack-lab/tests/explorer.rs
+++ b/crates/stacktack-lab/tests/explorer.rs
@@ -1,17 +1,17 @@
-//! Fault schedules drawn at random keep every promise, and are strong enough
-//! to break them when a protection is off.
+//! Random fault schedules violate no invariant, and are strong enough to violate one when a
+//! protection is disabled.
 
 use stacktack_core::protection::{Protection, Protections};
 use stacktack_lab::scenario::explore::explore_all;
 
-/// Schedules that are explored.
+/// Number of schedules that are explored.
 const SEEDS: u64 = 200;
 
-/// Threads that explore.
+/// Number of threads that explore.
 const THREADS: u64 = 8;
 
 #[test]
-fn drawn_schedules_keep_every_promise() {
+fn random_schedules_violate_no_invariant() {
     let findings = explore_all(0..SEEDS, THREADS, Protections::default()).expect("runs");
     let texts: Vec<String> = findings
         .iter()
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn drawn_schedules_find_a_missing_protection() {
-    for rule in [Protection::FateQuery, Protection::KeyClaim] {
-        let findings = explore_all(0..16, THREADS, Protections::without(rule)).expect("runs");
-        assert!(!findings.is_empty(), "nothing fails without {rule}");
+fn random_schedules_detect_a_missing_protection() {
+    for protection in [Protection::FateQuery, Protection::KeyClaim] {
+        let findings = explore_all(0..16, THREADS, Protections::without(protection)).expect("runs");
+        assert!(!findings.is_empty(), "nothing fails without {protection}");
     }
 }
--- a/crates/stacktack-lab/tests/processes/callers.rs
+++ b/crates/stacktack-lab/tests/processes/callers.rs
@@ -1,4 +1,4 @@
-//! What callers get: whole answers, typed problems, cancellation.
+//! Callers get complete responses and typed problems, and a caller that leaves cancels its request.
 
 use serde_json::Value;
 use stacktack_lab::caller::{Caller, Chat, ExpectedResponses};
@@ -8,7 +8,7 @@
 use crate::fixture::{finished, run, small_fleet, start_long, wait_generated};
 
 #[test]
-fn returning_chats_get_whole_answers_and_reuse_their_prefix() {
+fn chats_of_several_turns_get_complete_responses_and_reuse_their_prefix() {
     run(async {
         let plan = FleetPlan {
             engines: 2,
@@ -50,8 +50,8 @@
         let key = tenant_key("tenant-1");
         let chat_path = "/v1/chat/completions";
         let json = ("content-type", "application/json");
-        let good = Chat::new(String::from("c"), String::from("tenant-1"), 4).body(MODEL, false, 4);
-        let unknown_model = good.replace(MODEL, "no-such-model");
+        let valid = Chat::new(String::from("c"), String::from("tenant-1"), 4).body(MODEL, false, 4);
+        let unknown_model = valid.replace(MODEL, "no-such-model");
         let too_large = format!("{{\"pad\":\"{}\"}}", "x".repeat(1_100_000));
         let long = "x".repeat(400);
         type Case<'a> = (
@@ -96,7 +96,7 @@
                 chat_path,
                 "wrong",
                 vec![json],
-                &good,
+                &valid,
                 401,
                 "unknown-tenant",
             ),
@@ -105,7 +105,7 @@
                 chat_path,
                 &key,
                 vec![("content-type", "text/plain")],
-                &good,
+                &valid,
                 415,
                 "unsupported-content-type",
             ),
@@ -123,7 +123,7 @@
                 chat_path,
                 &key,
                 vec![json, ("stacktack-priority", "urgent")],
-                &good,
+                &valid,
                 400,
                 "malformed-header",
             ),
@@ -132,7 +132,7 @@
                 chat_path,
                 &key,
                 vec![json, ("stacktack-deadline-ms", "0")],
-                &good,
+                &valid,
                 400,
                 "malformed-header",
             ),
@@ -141,7 +141,7 @@
                 chat_path,
                 &key,
                 vec![json, ("stacktack-chat", &long)],
-                &good,
+                &valid,
                 400,
                 "malformed-header",
             ),
@@ -175,22 +175,22 @@
             assert_eq!(problem["outcome"], "not_run");
         }
         let response = caller
-            .call_service("POST", chat_path, &key, &[json], good)
+            .call_service("POST", chat_path, &key, &[json], valid)
             .await?;
         assert_eq!(response.status, 200, "{}", response.text);
         fleet.stop()
     });
 }
 
-/// Sends raw bytes and reads until the router closes the connection or its
-/// first response is whole.
+/// Sends raw bytes to a router and returns the first bytes of its response; empty if it closes the
+/// connection.
 async fn raw_exchange(router: &FleetProcess, bytes: &[u8]) -> Result<String, LabError> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(router.address).await?;
     stream.write_all(bytes).await?;
-    let mut response = vec![0; 4_096];
-    let length = stream.read(&mut response).await?;
-    Ok(String::from_utf8_lossy(&response[..length]).into_owned())
+    let mut buffer = vec![0; 4_096];
+    let length = stream.read(&mut buffer).await?;
+    Ok(String::from_utf8_lossy(&buffer[..length]).into_owned())
 }
 
 #[test]
--- a/crates/stacktack-lab/tests/processes/failures.rs
+++ b/crates/stacktack-lab/tests/processes/failures.rs
@@ -1,4 +1,4 @@
-//! Engines, routers and agents that break, die or freeze.
+//! Engines, routers and agents that break a stream off, are killed or freeze.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::fixture::{finished, post, run, service_fleet, small_fleet, start_long, wait_generated};
 
 #[test]
-fn a_broken_engine_stream_is_resumed_to_the_whole_answer() {
+fn a_broken_engine_stream_is_resumed_and_completed() {
     run(async {
         let mut fleet = Fleet::start(&small_fleet()).await?;
         post(&fleet.engines[0], "/faults", "{\"break_after\":20}").await?;
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_killed_engine_cuts_the_stream_without_done() {
+fn a_killed_engine_truncates_the_stream_without_done() {
     run(async {
         let fleet = Fleet::start(&small_fleet()).await?;
         let (expected, task) = start_long(&fleet.routers[0], "killed", &[])?;
         wait_generated(&fleet.engines[0], 10).await?;
         fleet.engines[0].signal("KILL")?;
         let response = finished(task).await?;
-        assert!(!response.complete, "a cut stream ended with [DONE]");
+        assert!(!response.complete, "a truncated stream ended with [DONE]");
         assert!(expected.is_prefix(&response.text));
         Ok(())
     });
@@ -69,10 +69,10 @@
         let caller = Caller::new(fleet.routers[0].address);
         let path = format!("/services/{SERVICE}/entries");
         let key = tenant_key("tenant-1");
-        let warm = caller
+        let first = caller
             .call_service("POST", &path, &key, &[], String::from("warm"))
             .await?;
-        assert_eq!(warm.status, 200, "{}", warm.text);
+        assert_eq!(first.status, 200, "{}", first.text);
         fleet.agents[0].signal("STOP")?;
         let response = caller
             .call_service("POST", &path, &key, &[], String::from("frozen"))
--- a/crates/stacktack-lab/tests/processes/fixture.rs
+++ b/crates/stacktack-lab/tests/processes/fixture.rs
@@ -1,4 +1,4 @@
-//! Fleets and calls that the tests share.
+//! Fleets, requests and waits that the tests share.
 
 use std::future::Future;
 
@@ -9,10 +9,10 @@
 };
 use stacktack_node::client::PlatformClient;
 
-/// Tokens of an answer that is still running when something happens to it.
-pub const LONG_ANSWER: u32 = 150;
+/// Number of tokens of a response that is long enough to be still in progress when a test acts.
+pub const LONG_RESPONSE_TOKENS: u32 = 150;
 
-/// Runs a test on the house's runtime.
+/// Runs a test on the Actix runtime and fails it on an error.
 pub fn run<F: Future<Output = Result<(), LabError>>>(test: F) {
     let result = actix_rt::System::new().block_on(test);
     if let Err(error) = result {
@@ -20,7 +20,7 @@
     }
 }
 
-/// One router before one engine.
+/// One router and one engine.
 pub fn small_fleet() -> FleetPlan {
     FleetPlan {
         routers: 1,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Posts an operator's order, which has to be taken.
+/// Posts to an operator endpoint, which has to respond with success.
 pub async fn post(process: &FleetProcess, path: &str, body: &str) -> Result<(), LabError> {
     let client = PlatformClient::new(process.operator);
     let bytes = body.as_bytes().to_vec();
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Waits until an engine has generated tokens.
+/// Waits until an engine has generated this number of tokens.
 pub async fn wait_generated(engine: &FleetProcess, tokens: u64) -> Result<(), LabError> {
     wait_until(engine, "/observed", |observed| {
         observed["generated_tokens"].as_u64() >= Some(tokens)
@@ -47,7 +47,8 @@
     .await
 }
 
-/// Starts a long streamed answer; returns its expected text and its response.
+/// Starts a request for a long stream; returns the expected responses and the task that gets the
+/// response.
 pub fn start_long(
     router: &FleetProcess,
     id: &str,
@@ -61,7 +62,7 @@
 > {
     let mut chat = Chat::new(id.to_string(), String::from("tenant-1"), 40);
     chat.add_user_message("tell me all");
-    let body = chat.body(MODEL, true, LONG_ANSWER);
+    let body = chat.body(MODEL, true, LONG_RESPONSE_TOKENS);
     let expected = ExpectedResponses::of(&body)?;
     let caller = Caller::new(router.address);
     let task = actix_rt::spawn(async move {
@@ -71,7 +72,7 @@
     Ok((expected, task))
 }
 
-/// The response that a task waits for.
+/// Waits for a task of [`start_long`] and returns its response.
 pub async fn finished(
     task: actix_rt::task::JoinHandle<Result<CallerResponse, LabError>>,
 ) -> Result<CallerResponse, LabError> {
@@ -79,8 +80,7 @@
         .map_err(|error| LabError::Request(error.to_string()))?
 }
 
-/// A fleet with one router and two services.
-/// A fleet before plain services.
+/// One router and two instances of the plain service.
 pub fn service_fleet() -> FleetPlan {
     FleetPlan {
         routers: 1,
@@ -90,8 +90,7 @@
     }
 }
 
-/// Calls that the fleet's services really ran.
-/// Runs that the service counted.
+/// Number of calls that the services of the fleet ran, as counted by themselves.
 pub async fn service_runs(fleet: &Fleet) -> Result<u64, LabError> {
     let mut runs = 0;
     for service in &fleet.services {
@@ -101,7 +100,7 @@
     Ok(runs)
 }
 
-/// One keyed call.
+/// Sends one call with an idempotency key through the first router.
 pub async fn call_once(fleet: &Fleet, key: &str) -> Result<CallerResponse, LabError> {
     let caller = Caller::new(fleet.routers[0].address);
     let path = format!("/services/{SERVICE}/entries");
--- a/crates/stacktack-lab/tests/processes/keys.rs
+++ b/crates/stacktack-lab/tests/processes/keys.rs
@@ -1,4 +1,4 @@
-//! Keyed calls run at most once, also while the table fails.
+//! Calls with an idempotency key run at most once, also while the table fails.
 
 use serde_json::Value;
 use stacktack_lab::caller::Caller;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_lost_reply_to_the_claim_is_settled_by_reading() {
+fn a_lost_reply_to_the_claim_is_resolved_by_reading() {
     run(async {
         let mut fleet = Fleet::start(&service_fleet()).await?;
         post(&fleet.platform, "/faults", "{\"mode\":\"lose_replies\"}").await?;
--- a/crates/stacktack-lab/tests/processes/main.rs
+++ b/crates/stacktack-lab/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! Promises on real processes: whole answers, true refusals, at most once,
-//! clean stops. Each test has its own fleet and waits on events.
+//! Fleets of real processes: responses are complete, refusals are correct, requests run at most
+//! once, and processes stop cleanly. Each test has its own fleet and waits for events.
 
 mod callers;
 mod failures;
--- a/crates/stacktack-lab/tests/scenarios.rs
+++ b/crates/stacktack-lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario holds, and fails without each protection that it names.
+//! Every scenario succeeds, and fails without each protection that it names.
 
 use std::path::Path;
 
@@ -13,10 +13,10 @@
         let failures = report.failures.join("\n");
         return Err(format!("{failures}\n{}", report.summary).into());
     }
-    for rule in &scenario.breaks {
-        let broken = run(&scenario, Protections::without(*rule))?;
-        if broken.failures.is_empty() {
-            return Err(format!("holds without {rule}: {}", broken.summary).into());
+    for protection in &scenario.breaks {
+        let unprotected = run(&scenario, Protections::without(*protection))?;
+        if unprotected.failures.is_empty() {
+            return Err(format!("succeeds without {protection}: {}", unprotected.summary).into());
         }
     }
     Ok(())
