--- a/crates/stacktack-lab/src/caller.rs
+++ b/crates/stacktack-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that check each answer against its request.
+//! HTTP callers and the responses that their requests should get.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,18 +10,18 @@
 
 use crate::error::LabError;
 
-/// A chat that returns: each turn's prompt holds all turns before.
+/// A chat of several turns; the prompt of each turn contains all earlier turns.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// Identifier.
+    /// Identifier, unique in a fleet.
     pub id: String,
-    /// Tenant that it belongs to.
+    /// Name of the tenant that the chat belongs to.
     pub tenant: String,
     messages: Vec<Value>,
 }
 
 impl Chat {
-    /// A chat that begins with a system message of some words.
+    /// A chat that begins with a system message of `words` words.
     pub fn new(id: String, tenant: String, words: usize) -> Self {
         let text: Vec<String> = (0..words).map(|word| format!("{id}w{word}")).collect();
         Chat {
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Adds the caller's next message.
-    pub fn ask(&mut self, text: &str) {
+    /// Adds the next message of the user.
+    pub fn add_user_message(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "user", "content": text }));
     }
 
-    /// Adds the engine's answer.
-    pub fn take_answer(&mut self, text: &str) {
+    /// Adds the text of the engine's response.
+    pub fn add_response(&mut self, text: &str) {
         self.messages
             .push(json!({ "role": "assistant", "content": text }));
     }
 
-    /// Body of a completion request.
+    /// Body of a completion request with the messages so far.
     pub fn body(&self, model: &str, stream: bool, max_tokens: u32) -> String {
         json!({
             "model": model,
@@ -55,63 +55,65 @@
     }
 }
 
-/// Attempts of one request that a caller reckons with.
-const MAXIMUM_ATTEMPTS: u16 = 24;
+/// Number of attempts of one request whose responses count as expected.
+const MAX_ATTEMPTS: u16 = 24;
 
-/// The answers that a request may get: one for each attempt.
+/// Responses that a request may get: one for each attempt, since the engine stand-in derives the
+/// text from the prompt and the number of the attempt.
 #[derive(Clone, Debug)]
-pub struct ExpectedAnswers {
+pub struct ExpectedResponses {
     prompt: Vec<u64>,
-    length: u32,
+    length_tokens: u32,
 }
 
-impl ExpectedAnswers {
-    /// The answers to a body.
+impl ExpectedResponses {
+    /// The responses to a request with this body.
     pub fn of(body: &str) -> Result<Self, LabError> {
         let request: ChatRequest =
             serde_json::from_str(body).map_err(|error| LabError::Request(error.to_string()))?;
-        Ok(ExpectedAnswers {
+        Ok(ExpectedResponses {
             prompt: request.prompt_tokens(),
-            length: request.response_length(),
+            length_tokens: request.response_length(),
         })
     }
 
-    /// Whether a text is the whole answer of one attempt.
-    pub fn is_whole(&self, text: &str) -> bool {
-        self.texts().any(|answer| answer == text)
+    /// Whether a text is the complete response of one attempt.
+    pub fn is_complete(&self, text: &str) -> bool {
+        self.texts().any(|response| response == text)
     }
 
-    /// Whether a text is the beginning of one attempt's answer.
-    pub fn is_beginning(&self, text: &str) -> bool {
-        self.texts().any(|answer| answer.starts_with(text))
+    /// Whether a text is the beginning of the response of one attempt.
+    pub fn is_prefix(&self, text: &str) -> bool {
+        self.texts().any(|response| response.starts_with(text))
     }
 
     fn texts(&self) -> impl Iterator<Item = String> + '_ {
-        (0..MAXIMUM_ATTEMPTS)
-            .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length))
+        (0..MAX_ATTEMPTS)
+            .map(|attempt| response_text(response_seed(&self.prompt, attempt), self.length_tokens))
     }
 }
 
-/// What a caller got.
+/// Response as a caller received it.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
+pub struct CallerResponse {
     /// HTTP status.
     pub status: u16,
-    /// Text of the answer, or body of a problem.
+    /// Text of the response, or the whole body if it is not a completion.
     pub text: String,
-    /// Whether the answer is whole.
-    pub whole: bool,
-    /// Tokens of the prompt.
+    /// Whether the response arrived to its end; false also for a problem in response to a
+    /// completion request.
+    pub complete: bool,
+    /// Number of tokens of the prompt, as reported in the usage.
     pub prompt_tokens: u64,
-    /// Tokens of the prompt that were reused.
+    /// Number of tokens of the prompt that the engine had cached, as reported in the usage.
     pub cached_tokens: u64,
-    /// `Stacktack-Decision`.
+    /// Value of the `Stacktack-Decision` header; empty without one.
     pub decision: String,
-    /// `Retry-After` in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u64>,
-    /// Time to the first token, for streams.
+    /// Time from the call to the first bytes of the body; zero for plain services.
     pub first_token: Duration,
-    /// Time to the end.
+    /// Time from the call to the end of the response.
     pub total: Duration,
 }
 
@@ -123,7 +125,7 @@
 }
 
 impl Caller {
-    /// A caller of an address, without a time limit.
+    /// A caller of an address, without a timeout.
     pub fn new(address: SocketAddr) -> Self {
         Caller {
             client: Client::builder()
@@ -134,14 +136,14 @@
         }
     }
 
-    /// Sends a completion request and reads the whole reply.
+    /// Sends a completion request and reads the response to its end.
     pub async fn complete(
         &self,
         chat: &Chat,
         key: &str,
         body: String,
         headers: &[(&str, &str)],
-    ) -> Result<Reply, LabError> {
+    ) -> Result<CallerResponse, LabError> {
         let begin = Instant::now();
         let mut request = self
             .client
@@ -153,49 +155,49 @@
             request = request.insert_header((*name, *value));
         }
         let failed = |error: String| LabError::Request(error);
-        let mut response = request
+        let mut http_response = request
             .send_body(body)
             .await
             .map_err(|error| failed(error.to_string()))?;
         let header = |name: &str| {
-            let value = response.headers().get(name)?;
+            let value = http_response.headers().get(name)?;
             value.to_str().ok().map(String::from)
         };
-        let mut reply = Reply {
-            status: response.status().as_u16(),
+        let mut response = CallerResponse {
+            status: http_response.status().as_u16(),
             decision: header("stacktack-decision").unwrap_or_default(),
             retry_after: header("retry-after").and_then(|text| text.parse().ok()),
-            ..Reply::default()
+            ..CallerResponse::default()
         };
         let is_stream = header("content-type").is_some_and(|kind| kind.starts_with("text/event"));
         let mut bytes = Vec::new();
-        let mut broke = false;
-        while let Some(chunk) = response.next().await {
+        let mut interrupted = false;
+        while let Some(chunk) = http_response.next().await {
             match chunk {
                 Ok(chunk) => {
                     if bytes.is_empty() {
-                        reply.first_token = begin.elapsed();
+                        response.first_token = begin.elapsed();
                     }
                     bytes.extend_from_slice(&chunk);
                 }
                 Err(_) => {
-                    broke = true;
+                    interrupted = true;
                     break;
                 }
             }
         }
-        reply.total = begin.elapsed();
+        response.total = begin.elapsed();
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if is_stream {
-            read_events(&text, &mut reply);
+            read_events(&text, &mut response);
         } else {
-            read_body(&text, &mut reply);
+            read_body(&text, &mut response);
         }
-        reply.whole &= !broke;
-        Ok(reply)
+        response.complete &= !interrupted;
+        Ok(response)
     }
 
-    /// Sends a call to a plain service and reads the whole reply.
+    /// Sends a call to a plain service and reads the response to its end.
     pub async fn call_service(
         &self,
         method: &str,
@@ -203,11 +205,11 @@
         key: &str,
         headers: &[(&str, &str)],
         body: String,
-    ) -> Result<Reply, LabError> {
+    ) -> Result<CallerResponse, LabError> {
         let begin = Instant::now();
         let method = method
             .parse()
-            .map_err(|_| LabError::Request(format!("{method} is no method")))?;
+            .map_err(|_| LabError::Request(format!("invalid method {method}")))?;
         let mut request = self
             .client
             .request(method, format!("{}{path}", self.base))
@@ -215,63 +217,63 @@
         for (name, value) in headers {
             request = request.insert_header((*name, *value));
         }
-        let mut response = request
+        let mut http_response = request
             .send_body(body)
             .await
             .map_err(|error| LabError::Request(error.to_string()))?;
-        let retry_after = response.headers().get("retry-after");
+        let retry_after = http_response.headers().get("retry-after");
         let retry_after = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
-        let body = response
+        let body = http_response
             .body()
             .await
             .map_err(|error| LabError::Request(error.to_string()))?;
-        Ok(Reply {
-            status: response.status().as_u16(),
+        Ok(CallerResponse {
+            status: http_response.status().as_u16(),
             text: String::from_utf8_lossy(&body).into_owned(),
-            whole: true,
+            complete: true,
             retry_after,
             total: begin.elapsed(),
-            ..Reply::default()
+            ..CallerResponse::default()
         })
     }
 }
 
-fn read_usage(value: &Value, reply: &mut Reply) {
+fn read_usage(value: &Value, response: &mut CallerResponse) {
     let usage = &value["usage"];
     if usage.is_object() {
-        reply.prompt_tokens = usage["prompt_tokens"].as_u64().unwrap_or(0);
+        response.prompt_tokens = usage["prompt_tokens"].as_u64().unwrap_or(0);
         let details = &usage["prompt_tokens_details"];
-        reply.cached_tokens = details["cached_tokens"].as_u64().unwrap_or(0);
+        response.cached_tokens = details["cached_tokens"].as_u64().unwrap_or(0);
     }
 }
 
-fn read_events(text: &str, reply: &mut Reply) {
+fn read_events(text: &str, response: &mut CallerResponse) {
     for line in text.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            reply.whole = true;
+            response.complete = true;
             continue;
         }
         let Ok(value) = serde_json::from_str::<Value>(data) else {
             continue;
         };
         if let Some(word) = value["choices"][0]["delta"]["content"].as_str() {
-            reply.text.push_str(word);
+            response.text.push_str(word);
         }
-        read_usage(&value, reply);
+        read_usage(&value, response);
     }
 }
 
-fn read_body(text: &str, reply: &mut Reply) {
+fn read_body(text: &str, response: &mut CallerResponse) {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     match value["choices"][0]["message"]["content"].as_str() {
         Some(content) => {
-            reply.text = content.to_string();
-            reply.whole = true;
-            read_usage(&value, reply);
+            response.text = content.to_string();
+            response.complete = true;
+            read_usage(&value, response);
         }
-        None => reply.text = text.to_string(),
+        None => response.text = text.to_string(),
     }
 }
