--- a/crates/stacktack-lab/src/emulator/agent.rs
+++ b/crates/stacktack-lab/src/emulator/agent.rs
@@ -1,4 +1,4 @@
-//! The traffic side of emulated agents.
+//! Request handling of emulated agents.
 
 use std::sync::Arc;
 
@@ -21,11 +21,11 @@
             gate.handle(now, input, &mut outputs);
         }
         for output in outputs {
-            self.perform_gate(id, output);
+            self.execute_gate_output(id, output);
         }
     }
 
-    fn perform_gate(&mut self, id: ProcessId, output: GateOutput) {
+    fn execute_gate_output(&mut self, id: ProcessId, output: GateOutput) {
         match output {
             GateOutput::ToRouter {
                 connection,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Sends a message on a connection; it waits while the network is cut.
+    /// Sends a message on a connection, behind all messages sent before it. The
+    /// message waits while the network between both ends is cut.
     fn send_to_router(&mut self, connection: LinkId, message: ToRouter) {
         let Some(link) = self.network.links.get_mut(&connection) else {
             return;
@@ -70,8 +71,8 @@
         self.schedule_at(at, event);
     }
 
-    /// A connection reaches an agent, which says hello.
-    pub(super) fn on_opened(&mut self, connection: LinkId) {
+    /// Opens a connection at its agent, which answers with its hello message.
+    pub(super) fn on_connection_opened(&mut self, connection: LinkId) {
         let Some(link) = self.network.links.get_mut(&connection) else {
             return;
         };
@@ -102,7 +103,7 @@
         self.handle_gate(link.agent, input);
     }
 
-    pub(super) fn on_lost_at_agent(&mut self, connection: LinkId) {
+    pub(super) fn on_connection_lost_at_agent(&mut self, connection: LinkId) {
         let Some(link) = self.network.links.get_mut(&connection) else {
             return;
         };
--- a/crates/stacktack-lab/src/emulator/backend.rs
+++ b/crates/stacktack-lab/src/emulator/backend.rs
@@ -1,4 +1,4 @@
-//! Back ends of emulated agents: the stand-ins' own models.
+//! Back ends of emulated agents, run by the models of the stand-ins.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,44 +16,45 @@
 use super::process::ProcessId;
 use super::Emulator;
 
-/// Time that a service's call takes.
+/// Time that a service takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
 
-/// Delay between an agent and the back end beside it.
-const LOCAL_DELAY: Duration = Duration::from_micros(50);
+/// Delay between an agent and its back end on the same machine.
+const BACK_END_DELAY: Duration = Duration::from_micros(50);
 
-/// Stand-in behind an agent.
+/// Stand-in that serves as the back end of an agent.
 pub struct BackEndModel {
-    /// Whether it is up.
+    /// Whether the back end is running.
     pub alive: bool,
-    /// Rises with each start.
-    pub life: u64,
-    /// What it is.
+    /// Incarnation of the back end; increases each time that it is killed.
+    pub incarnation: u64,
+    /// Engine or service, with its state.
     pub kind: BackEndState,
 }
 
 /// State of a stand-in.
 pub enum BackEndState {
-    /// A model engine and whether each of its streams is read piece by piece.
+    /// A model engine.
     Engine {
         /// The engine.
         model: Box<EngineModel>,
-        /// Streams by attempt's name.
+        /// Attempts by the name of their stream, and whether the response is
+        /// streamed to the agent piece by piece.
         streams: HashMap<String, (AttemptId, bool)>,
-        /// Whether a step is scheduled.
+        /// Whether the end of a step is scheduled.
         stepping: bool,
     },
     /// A plain service.
     Service {
-        /// What it ran.
+        /// Calls that the service ran.
         observed: service::Observed,
-        /// Answers of calls that run.
+        /// Responses of the calls in flight.
         running: HashMap<AttemptId, String>,
     },
 }
 
 impl BackEndModel {
-    /// The stand-in behind the agent of this name.
+    /// Creates the stand-in for the agent of this name.
     pub fn of(name: &str) -> Self {
         let kind = if name.starts_with("engine") {
             BackEndState::Engine {
@@ -69,16 +70,17 @@
         };
         BackEndModel {
             alive: true,
-            life: 1,
+            incarnation: 1,
             kind,
         }
     }
 
-    /// Ends the back end; returns the attempts that break off.
+    /// Ends the back end and returns the attempts that were interrupted, in
+    /// order.
     pub fn kill(&mut self) -> Vec<AttemptId> {
         self.alive = false;
-        self.life += 1;
-        let mut broken: Vec<AttemptId> = match &mut self.kind {
+        self.incarnation += 1;
+        let mut interrupted: Vec<AttemptId> = match &mut self.kind {
             BackEndState::Engine {
                 model,
                 streams,
@@ -90,20 +92,20 @@
             }
             BackEndState::Service { running, .. } => running.drain().map(|(id, _)| id).collect(),
         };
-        broken.sort_unstable();
-        broken
+        interrupted.sort_unstable();
+        interrupted
     }
 }
 
 impl Emulator {
-    /// An agent sends an attempt to its back end.
+    /// Starts an attempt at the back end of an agent.
     pub(super) fn start_back_end(&mut self, agent: ProcessId, attempt: AttemptId, offer: &Offer) {
         let alive = self.processes[agent]
             .back_end
             .as_ref()
             .is_some_and(|back_end| back_end.alive);
         if !alive {
-            self.tell_agent(agent, attempt, BackendEvent::Unreachable);
+            self.notify_agent(agent, attempt, BackendEvent::Unreachable);
             return;
         }
         match &offer.payload {
@@ -117,9 +119,9 @@
                 body,
                 ..
             } => {
-                let answer = service_response(method, path, body);
+                let response = service_response(method, path, body);
                 let id = (attempt, offer.version);
-                self.start_service(agent, id, idempotency_key.as_deref(), answer);
+                self.start_service(agent, id, idempotency_key.as_deref(), response);
             }
         }
     }
@@ -133,7 +135,7 @@
         body: &Bytes,
     ) {
         let Ok(chat) = serde_json::from_slice::<ChatRequest>(body) else {
-            self.tell_agent(agent, attempt, BackendEvent::InvalidResponse);
+            self.notify_agent(agent, attempt, BackendEvent::InvalidResponse);
             return;
         };
         let now = self.now;
@@ -148,12 +150,13 @@
             priority: offer.priority,
         };
         if model.submit(now, job).is_err() {
-            self.tell_agent(agent, attempt, BackendEvent::Refused);
+            self.notify_agent(agent, attempt, BackendEvent::Refused);
             return;
         }
         streams.insert(name, (attempt, stream));
         let version = offer.version;
-        self.observer.note_run(now, agent, (attempt, version), None);
+        self.observer
+            .record_run(now, agent, (attempt, version), None);
         let content_type = if stream {
             "text/event-stream"
         } else {
@@ -163,7 +166,7 @@
             status: 200,
             content_type: content_type.to_string(),
         };
-        self.tell_agent(agent, attempt, BackendEvent::Head(head));
+        self.notify_agent(agent, attempt, BackendEvent::Head(head));
         self.schedule_step(agent);
     }
 
@@ -172,14 +175,15 @@
         agent: ProcessId,
         (attempt, version): (AttemptId, ConfigurationVersion),
         key: Option<&str>,
-        answer: String,
+        response: String,
     ) {
         let now = self.now;
         if let Some(BackEndState::Service { observed, running }) = self.back_end_state(agent) {
             observed.count_call(key, Some(&attempt.to_string()));
-            running.insert(attempt, answer);
+            running.insert(attempt, response);
         }
-        self.observer.note_run(now, agent, (attempt, version), key);
+        self.observer
+            .record_run(now, agent, (attempt, version), key);
         self.schedule(SERVICE_TIME, Event::ServiceDone { agent, attempt });
     }
 
@@ -188,20 +192,20 @@
         Some(&mut back_end.kind)
     }
 
-    fn tell_agent(&mut self, process: ProcessId, attempt: AttemptId, event: BackendEvent) {
+    fn notify_agent(&mut self, process: ProcessId, attempt: AttemptId, event: BackendEvent) {
         let event = Event::Backend {
             process,
             attempt,
             event,
         };
-        self.schedule(LOCAL_DELAY, event);
+        self.schedule(BACK_END_DELAY, event);
     }
 
     fn schedule_step(&mut self, agent: ProcessId) {
         let Some(back_end) = self.processes[agent].back_end.as_mut() else {
             return;
         };
-        let engine_life = back_end.life;
+        let engine_incarnation = back_end.incarnation;
         let BackEndState::Engine {
             model, stepping, ..
         } = &mut back_end.kind
@@ -212,15 +216,21 @@
             return;
         };
         *stepping = true;
-        self.schedule_at(at, Event::EngineStep { agent, engine_life });
+        self.schedule_at(
+            at,
+            Event::EngineStep {
+                agent,
+                engine_incarnation,
+            },
+        );
     }
 
-    pub(super) fn on_engine_step(&mut self, agent: ProcessId, engine_life: u64) {
+    pub(super) fn on_engine_step(&mut self, agent: ProcessId, engine_incarnation: u64) {
         let now = self.now;
         let Some(back_end) = self.processes[agent].back_end.as_mut() else {
             return;
         };
-        if back_end.life != engine_life {
+        if back_end.incarnation != engine_incarnation {
             return;
         }
         let BackEndState::Engine {
@@ -237,7 +247,7 @@
             report_engine_event(model, streams, event, &mut reports);
         }
         for (attempt, event) in reports {
-            self.tell_agent(agent, attempt, event);
+            self.notify_agent(agent, attempt, event);
         }
         self.schedule_step(agent);
     }
@@ -246,50 +256,52 @@
         let Some(BackEndState::Service { running, .. }) = self.back_end_state(agent) else {
             return;
         };
-        let Some(answer) = running.remove(&attempt) else {
+        let Some(response) = running.remove(&attempt) else {
             return;
         };
         let head = ResponseHead {
             status: 200,
             content_type: String::from("text/plain"),
         };
-        let pieces = vec![Bytes::from(answer)];
-        self.tell_agent(agent, attempt, BackendEvent::Head(head));
-        self.tell_agent(agent, attempt, BackendEvent::Pieces { offset: 0, pieces });
-        self.tell_agent(agent, attempt, BackendEvent::Finished(Usage::default()));
+        let pieces = vec![Bytes::from(response)];
+        self.notify_agent(agent, attempt, BackendEvent::Head(head));
+        self.notify_agent(agent, attempt, BackendEvent::Pieces { offset: 0, pieces });
+        self.notify_agent(agent, attempt, BackendEvent::Finished(Usage::default()));
     }
 
-    /// An agent takes up a stream of its engine.
+    /// Resumes an attempt at the engine of an agent. A streamed response is sent
+    /// again from `offset` on, as far as it is generated; any other response is
+    /// sent whole if it is finished.
     pub(super) fn resume_back_end(&mut self, agent: ProcessId, attempt: AttemptId, offset: u64) {
         let name = attempt.to_string();
         let Some(BackEndState::Engine { model, streams, .. }) = self.back_end_state(agent) else {
             return;
         };
-        let Some(known) = model.stream(&name).cloned() else {
-            self.tell_agent(agent, attempt, BackendEvent::ConnectionBroken);
+        let Some(state) = model.stream(&name).cloned() else {
+            self.notify_agent(agent, attempt, BackendEvent::ConnectionBroken);
             return;
         };
         let stream = streams.get(&name).is_some_and(|(_, stream)| *stream);
         let mut reports = Vec::new();
         if stream {
-            let pieces = (offset as u32..known.generated)
-                .map(|index| word_piece(known.seed, index))
+            let pieces = (offset as u32..state.generated)
+                .map(|index| word_piece(state.seed, index))
                 .collect();
             reports.push(BackendEvent::Pieces { offset, pieces });
         }
-        if let Some(usage) = known.usage {
+        if let Some(usage) = state.usage {
             if !stream {
-                let pieces = vec![Bytes::from(response_text(known.seed, known.length))];
+                let pieces = vec![Bytes::from(response_text(state.seed, state.length))];
                 reports.push(BackendEvent::Pieces { offset: 0, pieces });
             }
             reports.push(BackendEvent::Finished(usage));
         }
         for event in reports {
-            self.tell_agent(agent, attempt, event);
+            self.notify_agent(agent, attempt, event);
         }
     }
 
-    /// An agent stops a stream of its engine.
+    /// Cancels an attempt at the engine of an agent. Calls of services run on.
     pub(super) fn cancel_back_end(&mut self, agent: ProcessId, attempt: AttemptId) {
         let now = self.now;
         if let Some(BackEndState::Engine { model, .. }) = self.back_end_state(agent) {
--- a/crates/stacktack-lab/src/emulator/callers.rs
+++ b/crates/stacktack-lab/src/emulator/callers.rs
@@ -1,4 +1,5 @@
-//! Emulated callers: what they send, what they got, whether it is theirs.
+//! Emulated callers: they send requests and compare each response with the one
+//! that the request must get.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,131 +23,134 @@
 use crate::caller::{Chat, ExpectedAnswers};
 use crate::fleet::{MODEL, SERVICE};
 
-/// End of a whole event stream.
+/// Last event of a complete event stream.
 const STREAM_END: &[u8] = b"data: [DONE]\n\n";
 
-/// How calls name idempotency keys.
+/// How requests use idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyUse {
     /// No key.
     None,
-    /// A key for each call.
+    /// Each request has its own key.
     Unique,
-    /// Each key is used by two calls at the same time.
+    /// Each key is used by two requests at the same time.
     Twice,
 }
 
-/// One kind of load.
+/// Requests of one kind, sent with exponentially distributed pauses.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Whether calls go to the plain service.
+    /// Whether requests go to the plain service instead of the model.
     pub service: bool,
-    /// Requests a second.
+    /// Mean arrivals per second.
     pub rate: f64,
-    /// Chats that the requests belong to.
+    /// Number of chats that the requests belong to.
     pub chats: usize,
-    /// Tokens of each answer.
+    /// Length of each response in tokens.
     pub tokens: u32,
-    /// Words that each chat begins with.
+    /// Number of words in the system message of each chat.
     pub words: usize,
-    /// Share of answers that are streams.
+    /// Fraction of chat responses that are streamed.
     pub streams: f64,
-    /// Keys.
+    /// Use of idempotency keys.
     pub keys: KeyUse,
-    /// Callers' patience; none for no deadline.
+    /// Caller timeout, sent as the deadline of the request; `None` for no
+    /// deadline.
     pub deadline: Option<Duration>,
-    /// First request.
+    /// Time of the first request.
     pub from: Time,
-    /// No request from here on.
+    /// Time from which on no request is sent.
     pub to: Time,
 }
 
-/// A request that is to be sent.
+/// The next request of a load.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Number of the load.
+    /// Index of the load.
     pub load: usize,
-    /// Number of the request in its load.
+    /// Sequence number of the request within its load, from 0.
     pub number: u64,
 }
 
-/// How a caller's request ended.
+/// How the request of a caller ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ending {
-    /// Under way.
+    /// The request is in flight.
     Open,
-    /// Whole answer.
+    /// The whole response arrived.
     Whole,
-    /// Problem reply.
+    /// A problem response arrived instead of the response.
     Problem(Problem),
-    /// Part of the answer, then a problem.
+    /// The response was cut off after it had begun, because of a problem.
     Cut(Problem),
-    /// The router went away.
+    /// The router ended or crashed.
     RouterGone,
 }
 
-/// The answer that a request has to get.
+/// The response that a request must get.
 #[derive(Debug)]
 pub enum Expected {
-    /// One of an engine's, one for each attempt.
+    /// Response of an engine; each attempt has its own.
     Chat(ExpectedAnswers),
-    /// A service's.
+    /// Response of a service.
     Service(String),
 }
 
-/// A caller's request.
+/// A request of a caller and what the caller received.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Router that took it.
+    /// Router that the request was sent to.
     pub router: ProcessId,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent_at: Time,
-    /// When it ended.
+    /// Time at which the request ended; `None` while it is in flight.
     pub ended_at: Option<Time>,
-    /// Answer that it has to get.
+    /// Response that the request must get.
     pub expected: Expected,
-    /// What it got.
-    pub got: Vec<u8>,
-    /// How it ended.
+    /// Bytes of the response received so far.
+    pub received: Vec<u8>,
+    /// How the request ended, or that it is in flight.
     pub ending: Ending,
-    /// Whether it may run only once.
+    /// Whether the request may run at most once.
     pub at_most_once: bool,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     pub key: Option<String>,
     chat: Option<(usize, usize)>,
     stream: bool,
 }
 
 impl CallerRequest {
-    /// Whether what it got is its own answer, as far as it goes.
+    /// Whether the received bytes are the expected response, or a prefix of it
+    /// if the response did not arrive whole.
     pub fn matches_expected(&self) -> bool {
         let whole = self.ending == Ending::Whole;
-        let got = match self.got.strip_suffix(STREAM_END) {
+        let received = match self.received.strip_suffix(STREAM_END) {
             Some(text) if self.stream && whole => text,
             None if self.stream && whole => return false,
-            _ => &self.got,
+            _ => &self.received,
         };
-        let Ok(text) = std::str::from_utf8(got) else {
+        let Ok(text) = std::str::from_utf8(received) else {
             return false;
         };
         match &self.expected {
-            Expected::Service(answer) if whole => answer == text,
-            Expected::Service(answer) => answer.starts_with(text),
-            Expected::Chat(answers) if whole => answers.is_whole(text),
-            Expected::Chat(answers) => answers.is_beginning(text),
+            Expected::Service(response) if whole => response == text,
+            Expected::Service(response) => response.starts_with(text),
+            Expected::Chat(responses) if whole => responses.is_whole(text),
+            Expected::Chat(responses) => responses.is_beginning(text),
         }
     }
 }
 
-/// All callers.
+/// All callers of a fleet.
 #[derive(Debug, Default)]
 pub struct Callers {
-    /// Loads.
+    /// Loads, in the order in which they were added.
     pub loads: Vec<LoadPlan>,
     chats: Vec<Vec<Chat>>,
     /// Requests by identifier.
     pub requests: HashMap<RequestId, CallerRequest>,
-    /// Bytes or endings for a request that has ended.
+    /// Number of response parts that arrived for a request that had already
+    /// ended.
     pub received_after_end: u64,
 }
 
@@ -155,7 +159,7 @@
         if self
             .requests
             .get(&request)
-            .is_none_or(|held| held.ending != Ending::Open)
+            .is_none_or(|entry| entry.ending != Ending::Open)
         {
             self.received_after_end += 1;
         }
@@ -163,19 +167,22 @@
 
     pub(super) fn on_body(&mut self, request: RequestId, bytes: &Bytes) {
         match self.requests.get_mut(&request) {
-            Some(held) if held.ending == Ending::Open => held.got.extend_from_slice(bytes),
+            Some(entry) if entry.ending == Ending::Open => entry.received.extend_from_slice(bytes),
             _ => self.received_after_end += 1,
         }
     }
 
     pub(super) fn on_end(&mut self, now: Time, request: RequestId) {
         self.end(now, request, Ending::Whole);
-        let Some(held) = self.requests.get_mut(&request) else {
+        let Some(entry) = self.requests.get_mut(&request) else {
             return;
         };
-        if let Some((load, chat)) = held.chat {
-            let got = held.got.strip_suffix(STREAM_END).unwrap_or(&held.got);
-            let text = String::from_utf8_lossy(got).into_owned();
+        if let Some((load, chat)) = entry.chat {
+            let received = entry
+                .received
+                .strip_suffix(STREAM_END)
+                .unwrap_or(&entry.received);
+            let text = String::from_utf8_lossy(received).into_owned();
             self.chats[load][chat].take_answer(&text);
         }
     }
@@ -190,27 +197,27 @@
 
     fn end(&mut self, now: Time, request: RequestId, ending: Ending) {
         match self.requests.get_mut(&request) {
-            Some(held) if held.ending == Ending::Open => {
-                held.ending = ending;
-                held.ended_at = Some(now);
+            Some(entry) if entry.ending == Ending::Open => {
+                entry.ending = ending;
+                entry.ended_at = Some(now);
             }
             _ => self.received_after_end += 1,
         }
     }
 
-    /// The router of these requests went away.
+    /// Ends all requests in flight at a router that ended.
     pub(super) fn lose_router(&mut self, now: Time, router: ProcessId) {
-        for held in self.requests.values_mut() {
-            if held.router == router && held.ending == Ending::Open {
-                held.ending = Ending::RouterGone;
-                held.ended_at = Some(now);
+        for entry in self.requests.values_mut() {
+            if entry.router == router && entry.ending == Ending::Open {
+                entry.ending = Ending::RouterGone;
+                entry.ended_at = Some(now);
             }
         }
     }
 }
 
 impl Emulator {
-    /// Adds load.
+    /// Adds a load and schedules its first request.
     pub fn add_load(&mut self, load: LoadPlan) {
         let number = self.callers.loads.len();
         let tenants = self.plan.fleet.tenants.max(1);
@@ -225,14 +232,14 @@
         self.callers.chats.push(chats);
         self.schedule_at(
             from,
-            Event::Arrive(Arrival {
+            Event::Arrival(Arrival {
                 load: number,
                 number: 0,
             }),
         );
     }
 
-    pub(super) fn on_arrive(&mut self, arrival: Arrival) {
+    pub(super) fn on_arrival(&mut self, arrival: Arrival) {
         let load = self.callers.loads[arrival.load].clone();
         if self.now >= load.to {
             return;
@@ -247,11 +254,12 @@
             load: arrival.load,
             number: arrival.number + 1,
         };
-        self.schedule(pause, Event::Arrive(next));
+        self.schedule(pause, Event::Arrival(next));
     }
 
-    /// The platform's balancer: any router that says it is ready.
-    fn draw_router(&mut self) -> Option<ProcessId> {
+    /// Picks a random router that is alive and ready, as the load balancer of
+    /// the platform does.
+    fn pick_router(&mut self) -> Option<ProcessId> {
         let routers: Vec<ProcessId> = (0..self.processes.len())
             .filter(|id| {
                 let process = &self.processes[*id];
@@ -266,12 +274,12 @@
     }
 
     fn send_request(&mut self, load: &LoadPlan, arrival: &Arrival) {
-        let Some(router) = self.draw_router() else {
+        let Some(router) = self.pick_router() else {
             return;
         };
         let high = u128::from(self.random.next_u64());
         let id = RequestId(high << 64 | u128::from(self.random.next_u64()));
-        let (request, mut held) = if load.service {
+        let (request, mut caller_request) = if load.service {
             service_request(load, arrival, id)
         } else {
             let index = match load.keys {
@@ -279,20 +287,20 @@
                 KeyUse::Unique | KeyUse::Twice => arrival.number as usize % load.chats,
             };
             let stream = self.random.random_bool(load.streams);
-            let Some(made) = self.chat_request(load, arrival, id, index, stream) else {
+            let Some(chat_request) = self.chat_request(load, arrival, id, index, stream) else {
                 return;
             };
-            made
+            chat_request
         };
         let work = f64::from(request.prompt_tokens) + f64::from(request.decode_tokens);
         self.observer.largest_work = self.observer.largest_work.max(work);
-        held.router = router;
-        held.sent_at = self.now;
-        self.callers.requests.insert(id, held);
-        self.processes_arrive(router, request);
+        caller_request.router = router;
+        caller_request.sent_at = self.now;
+        self.callers.requests.insert(id, caller_request);
+        self.deliver_request(router, request);
     }
 
-    fn processes_arrive(&mut self, router: ProcessId, request: Request) {
+    fn deliver_request(&mut self, router: ProcessId, request: Request) {
         if self.processes[router].frozen {
             self.callers.requests.remove(&request.id);
             return;
@@ -312,7 +320,7 @@
         chat.ask(&format!("question {}", arrival.number));
         let body = chat.body(MODEL, stream, load.tokens);
         let expected = Expected::Chat(ExpectedAnswers::of(&body).ok()?);
-        let key = key_of(load, arrival);
+        let key = idempotency_key(load, arrival);
         let bytes = Bytes::from(body);
         let request = Request {
             id,
@@ -332,19 +340,20 @@
                 body: bytes,
             },
         };
-        let held = new_held(expected, key, Some((arrival.load, index)), stream, false);
-        Some((request, held))
+        let caller_request =
+            new_caller_request(expected, key, Some((arrival.load, index)), stream, false);
+        Some((request, caller_request))
     }
 }
 
-fn key_of(load: &LoadPlan, arrival: &Arrival) -> Option<String> {
+fn idempotency_key(load: &LoadPlan, arrival: &Arrival) -> Option<String> {
     match load.keys {
         KeyUse::None => None,
         KeyUse::Unique | KeyUse::Twice => Some(format!("key-{}-{}", arrival.load, arrival.number)),
     }
 }
 
-fn new_held(
+fn new_caller_request(
     expected: Expected,
     key: Option<String>,
     chat: Option<(usize, usize)>,
@@ -356,7 +365,7 @@
         sent_at: Time::default(),
         ended_at: None,
         expected,
-        got: Vec::new(),
+        received: Vec::new(),
         ending: Ending::Open,
         at_most_once: at_most_once || key.is_some(),
         key,
@@ -369,7 +378,7 @@
     let path = format!("/entries/{}", arrival.number);
     let body = Bytes::from(format!("entry {}", arrival.number));
     let expected = Expected::Service(service_response("POST", &path, &body));
-    let key = key_of(load, arrival);
+    let key = idempotency_key(load, arrival);
     let request = Request {
         id,
         tenant: TenantId::of("tenant-1"),
@@ -391,13 +400,16 @@
             body,
         },
     };
-    (request, new_held(expected, key, None, false, true))
+    (
+        request,
+        new_caller_request(expected, key, None, false, true),
+    )
 }
 
 impl CallerRequest {
-    /// Whether a cut answer ended as if it were whole.
+    /// Whether a streamed response was cut off and yet ends like a whole one.
     pub fn is_cut_but_looks_whole(&self) -> bool {
-        let ended = matches!(self.ending, Ending::Cut(_));
-        ended && self.stream && self.got.ends_with(STREAM_END)
+        let cut = matches!(self.ending, Ending::Cut(_));
+        cut && self.stream && self.received.ends_with(STREAM_END)
     }
 }
--- a/crates/stacktack-lab/src/emulator/control.rs
+++ b/crates/stacktack-lab/src/emulator/control.rs
@@ -1,4 +1,5 @@
-//! The control side of emulated processes.
+//! Membership and configuration of emulated processes: gossip datagrams, reads
+//! of the platform and snapshots from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +15,8 @@
 use super::process::ProcessId;
 use super::Emulator;
 
-/// Bytes that one read of the platform costs, HTTP and TCP headers included.
+/// Control traffic that one read of the platform costs, in bytes, HTTP and TCP
+/// headers included.
 const READ_BYTES: usize = 600;
 
 impl Emulator {
@@ -28,11 +30,11 @@
         let mut outputs = Vec::new();
         self.processes[id].control.handle(now, input, &mut outputs);
         for output in outputs {
-            self.perform_control(id, output);
+            self.execute_control_output(id, output);
         }
     }
 
-    fn perform_control(&mut self, id: ProcessId, output: ControlOutput) {
+    fn execute_control_output(&mut self, id: ProcessId, output: ControlOutput) {
         match output {
             ControlOutput::Send { target, datagram } => self.send_datagram(id, target, datagram),
             ControlOutput::ReadHead => self.read(id, ReadRequest::Head),
@@ -47,11 +49,11 @@
                 changes,
             } => {
                 let version = configuration.version;
-                self.observer.note_version(self.now, id, version);
+                self.observer.record_version(self.now, id, version);
                 let process = &mut self.processes[id];
                 if version < process.highest_version {
                     self.observer
-                        .note_fall(id, process.highest_version, version);
+                        .record_version_decrease(id, process.highest_version, version);
                 }
                 process.highest_version = process.highest_version.max(version);
                 process.configuration = configuration.clone();
@@ -68,8 +70,8 @@
     }
 
     fn fetch_snapshot(&mut self, id: ProcessId, peer: SocketAddr) {
-        let held = |process: &super::process::Process| process.information.operator == peer;
-        let Some(other) = self.processes.iter().position(held) else {
+        let is_peer = |process: &super::process::Process| process.information.operator == peer;
+        let Some(other) = self.processes.iter().position(is_peer) else {
             return;
         };
         let process = &self.processes[other];
@@ -79,7 +81,7 @@
         let configuration = (**process.control.configuration()).clone();
         let event = Event::ReadDone {
             process: id,
-            life: self.processes[id].information.incarnation,
+            incarnation: self.processes[id].information.incarnation,
             read: Read::Snapshot(Box::new(configuration)),
         };
         self.schedule(self.delay(id, other) * 2, event);
@@ -89,8 +91,9 @@
         let Some(process) = self.by_gossip.get(&target).copied() else {
             return;
         };
-        let deaf = self.network.is_cut_from_gossip(id) || self.network.is_cut_from_gossip(process);
-        if deaf || self.network.is_cut(id, process) {
+        let gossip_cut =
+            self.network.is_cut_from_gossip(id) || self.network.is_cut_from_gossip(process);
+        if gossip_cut || self.network.is_cut(id, process) {
             return;
         }
         let bytes = stacktack_wire::codec::encode(&datagram).map_or(0, |bytes| bytes.len());
@@ -124,18 +127,18 @@
         if self.network.is_cut_from_platform(id) {
             return;
         }
-        let life = self.processes[id].information.incarnation;
+        let incarnation = self.processes[id].information.incarnation;
         let (read, delay) = self.platform.read(&request);
         let event = Event::ReadDone {
             process: id,
-            life,
+            incarnation,
             read,
         };
         self.schedule(PLATFORM_DELAY * 2 + delay, event);
     }
 
-    pub(super) fn on_read_done(&mut self, id: ProcessId, life: Incarnation, read: Read) {
-        if self.processes[id].information.incarnation != life {
+    pub(super) fn on_read_done(&mut self, id: ProcessId, incarnation: Incarnation, read: Read) {
+        if self.processes[id].information.incarnation != incarnation {
             return;
         }
         let input = match read {
--- a/crates/stacktack-lab/src/emulator/event.rs
+++ b/crates/stacktack-lab/src/emulator/event.rs
@@ -1,4 +1,4 @@
-//! What happens in an emulated fleet, in order of time.
+//! Events of an emulated fleet and their order in time.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 use super::platform::Read;
 use super::process::ProcessId;
 
-/// One event.
+/// An event that the emulator handles at its scheduled time.
 #[derive(Debug)]
 pub enum Event {
-    /// A process's timers.
+    /// The timers of a process are due.
     Tick {
         /// The process.
         process: ProcessId,
-        /// Its life.
-        life: Incarnation,
+        /// Incarnation for which the event was scheduled.
+        incarnation: Incarnation,
     },
     /// A datagram arrives.
     Datagram {
@@ -33,23 +33,23 @@
         process: ProcessId,
         /// The sender's address.
         source: SocketAddr,
-        /// Size of the body.
+        /// Encoded size of the datagram in bytes.
         bytes: usize,
         /// The datagram.
         datagram: Datagram,
     },
     /// A connection reaches an agent.
-    Opened {
+    ConnectionOpened {
         /// The agent's process.
         process: ProcessId,
         /// The connection.
         connection: LinkId,
     },
-    /// A connection was refused or timed out.
+    /// A connection attempt was refused or timed out.
     ConnectFailed {
         /// The router's process.
         process: ProcessId,
-        /// The agent.
+        /// The agent that the router could not reach.
         agent: NodeId,
     },
     /// A message arrives at an agent.
@@ -70,27 +70,27 @@
         /// The message.
         message: ToRouter,
     },
-    /// An agent learns that a connection is gone.
-    LostAtAgent {
+    /// An agent learns that a connection was closed or reset.
+    ConnectionLostAtAgent {
         /// The agent's process.
         process: ProcessId,
         /// The connection.
         connection: LinkId,
     },
-    /// A router learns that a connection is gone.
-    LostAtRouter {
+    /// A router learns that a connection was closed or reset.
+    ConnectionLostAtRouter {
         /// The router's process.
         process: ProcessId,
         /// The connection.
         connection: LinkId,
     },
     /// A table operation arrives at the platform.
-    Table {
-        /// The router that sent it.
+    TableRequest {
+        /// The router that sent the operation.
         process: ProcessId,
-        /// Its life.
-        life: Incarnation,
-        /// The request that waits for the reply.
+        /// Incarnation for which the event was scheduled.
+        incarnation: Incarnation,
+        /// The request that waits for the reply, if any.
         request: Option<RequestId>,
         /// The operation.
         operation: TableOperation,
@@ -99,58 +99,58 @@
     TableReply {
         /// The router.
         process: ProcessId,
-        /// Its life.
-        life: Incarnation,
-        /// The request that waits for it.
+        /// Incarnation for which the event was scheduled.
+        incarnation: Incarnation,
+        /// The request that waits for the reply.
         request: RequestId,
         /// The reply.
         reply: TableReply,
     },
-    /// A read for the control state is done.
+    /// A read by the control state of a process is complete.
     ReadDone {
         /// The process.
         process: ProcessId,
-        /// Its life.
-        life: Incarnation,
-        /// What was read.
+        /// Incarnation for which the event was scheduled.
+        incarnation: Incarnation,
+        /// Result of the read.
         read: Read,
     },
     /// A table reply arrives at an operator.
     OperatorReply {
-        /// The operator.
+        /// Index of the operator.
         operator: usize,
         /// The reply.
         reply: TableReply,
     },
-    /// An engine's step ends.
+    /// A step of an engine ends.
     EngineStep {
         /// The engine's agent.
         agent: ProcessId,
-        /// The engine's life.
-        engine_life: u64,
+        /// Incarnation of the engine.
+        engine_incarnation: u64,
     },
-    /// A service's call ends.
+    /// A service completes a call.
     ServiceDone {
         /// The service's agent.
         agent: ProcessId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An agent hears from its back end.
+    /// A message of a back end arrives at its agent.
     Backend {
         /// The agent's process.
         process: ProcessId,
         /// The attempt.
         attempt: AttemptId,
-        /// What it hears.
+        /// The message.
         event: BackendEvent,
     },
     /// A table reply about the controller lease arrives at an agent.
     LeaseReply {
         /// The agent.
         process: ProcessId,
-        /// Its life.
-        life: Incarnation,
+        /// Incarnation for which the event was scheduled.
+        incarnation: Incarnation,
         /// The reply.
         reply: TableReply,
     },
@@ -162,51 +162,52 @@
         order: Order,
     },
     /// A caller sends a request.
-    Arrive(Arrival),
-    /// Something breaks or is mended.
+    Arrival(Arrival),
+    /// A fault begins or ends, or an operator acts.
     Fault(Fault),
-    /// The observers look.
+    /// The observer takes a sample.
     Observe,
 }
 
 impl Event {
-    /// The process that has to be up and running for the event to be handled.
-    /// What happens in an engine, the platform or a caller has none.
+    /// The process that must be alive and not paused for the event to be
+    /// handled, or `None` for events of engines, services, the platform,
+    /// operators, callers and the emulator itself.
     pub fn process(&self) -> Option<ProcessId> {
         match self {
             Event::Tick { process, .. }
             | Event::Datagram { process, .. }
-            | Event::Opened { process, .. }
+            | Event::ConnectionOpened { process, .. }
             | Event::ConnectFailed { process, .. }
             | Event::ToAgent { process, .. }
             | Event::ToRouter { process, .. }
-            | Event::LostAtAgent { process, .. }
-            | Event::LostAtRouter { process, .. }
+            | Event::ConnectionLostAtAgent { process, .. }
+            | Event::ConnectionLostAtRouter { process, .. }
             | Event::TableReply { process, .. }
             | Event::ReadDone { process, .. }
             | Event::LeaseReply { process, .. }
             | Event::Order { process, .. }
             | Event::Backend { process, .. } => Some(*process),
-            Event::Table { .. }
+            Event::TableRequest { .. }
             | Event::OperatorReply { .. }
             | Event::EngineStep { .. }
             | Event::ServiceDone { .. }
-            | Event::Arrive(_)
+            | Event::Arrival(_)
             | Event::Fault(_)
             | Event::Observe => None,
         }
     }
 }
 
-/// An event with its time; the earliest, then the first scheduled, is the
-/// greatest, as a heap wants it.
+/// An event with its time. The order is reversed for a max-heap: the earliest
+/// event is the greatest, and among events of one time the one scheduled first.
 #[derive(Debug)]
 pub struct Scheduled {
-    /// When it happens.
+    /// Time at which the event is handled.
     pub at: Time,
-    /// Order among events of one time.
+    /// Order in which events were scheduled; decides among events of one time.
     pub sequence: u64,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
--- a/crates/stacktack-lab/src/emulator/faults.rs
+++ b/crates/stacktack-lab/src/emulator/faults.rs
@@ -1,4 +1,4 @@
-//! What breaks, and what is done to a fleet.
+//! Faults of an emulated fleet and acts of its operators.
 
 use std::time::Duration;
 
@@ -12,54 +12,55 @@
 use super::process::{ProcessId, Traffic};
 use super::Emulator;
 
-/// Time, in parts of a connect timeout, until what waited behind a cut is sent
-/// again: retransmission backs off while the network is cut.
-const RETRANSMISSION: std::ops::Range<f64> = 0.2..1.5;
+/// Delay, as a multiple of the connect timeout, until stalled messages are sent
+/// again after a cut heals: retransmission backs off while the network is cut.
+const RETRANSMISSION_DELAY_FACTOR: std::ops::Range<f64> = 0.2..1.5;
 
-/// One fault or act of an operator.
+/// A fault, the end of a fault, or an act of an operator or the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A process ends at once.
+    /// A process crashes.
     Kill(ProcessId),
-    /// A process starts again, in a new life.
+    /// A process restarts, in a new incarnation.
     Restart(ProcessId),
     /// A process is paused.
     Freeze(ProcessId),
-    /// A paused process goes on.
+    /// A paused process resumes.
     Thaw(ProcessId),
-    /// A process is asked to stop.
+    /// A process is asked to stop gracefully.
     Stop(ProcessId),
-    /// A back end ends at once.
+    /// A back end crashes.
     KillBackEnd(ProcessId),
-    /// A back end starts again.
+    /// A back end restarts.
     RestartBackEnd(ProcessId),
     /// Two processes cannot reach each other.
     Cut(ProcessId, ProcessId),
-    /// They can again.
+    /// Two processes can reach each other again.
     Heal(ProcessId, ProcessId),
     /// A process cannot reach the platform.
     CutPlatform(ProcessId),
-    /// It can again.
+    /// A process can reach the platform again.
     HealPlatform(ProcessId),
-    /// A process gets and sends no datagrams.
+    /// A process neither sends nor receives datagrams.
     CutGossip(ProcessId),
-    /// It does again.
+    /// A process sends and receives datagrams again.
     HealGossip(ProcessId),
-    /// Connections between two processes break.
+    /// All connections between two processes are reset.
     Reset(ProcessId, ProcessId),
-    /// The table behaves so.
+    /// The store gets this fault, or `StoreFault::Up` to end one.
     Store(StoreFault),
     /// An operator drains an agent.
     Drain(ProcessId),
-    /// An operator lets it work again.
+    /// An operator ends the draining of an agent.
     Undrain(ProcessId),
     /// The platform is about to take a machine away.
     Leave(ProcessId),
-    /// Operators set the load cap, all at the same time.
+    /// Several operators set the load cap at the same time.
     Apply {
-        /// Who.
+        /// Names of the operators.
         authors: Vec<String>,
-        /// The first one's cap; each further one's is 0.1 higher.
+        /// Load cap that the first operator sets; each further operator sets one
+        /// that is 0.1 higher.
         load_cap: f64,
     },
 }
@@ -100,7 +101,7 @@
                 let process = &self.processes[id];
                 let entry = (process.node, process.information.incarnation);
                 self.platform.leaving.push(entry);
-                self.observer.note_leaving(self.now, id);
+                self.observer.record_leaving(self.now, id);
             }
             Fault::Apply { authors, load_cap } => {
                 for (number, author) in authors.iter().enumerate() {
@@ -114,13 +115,13 @@
     fn drain(&mut self, id: ProcessId, draining: bool) {
         self.handle_gate(id, GateInput::Drain(draining));
         if draining {
-            self.observer.note_leaving(self.now, id);
+            self.observer.record_leaving(self.now, id);
         }
     }
 
     fn stop(&mut self, id: ProcessId) {
         self.processes[id].stopping = true;
-        self.observer.note_leaving(self.now, id);
+        self.observer.record_leaving(self.now, id);
         self.handle_gate(id, GateInput::Drain(true));
         if !self
             .plan
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Ends a process; the other ends of its connections learn of it.
+    /// Ends a process and notifies the other ends of its connections.
     pub(super) fn end_process(&mut self, id: ProcessId) {
         if !self.processes[id].alive {
             return;
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Breaks a connection; each end but the process that is gone learns of it
-    /// once the network lets it.
+    /// Breaks a connection. Each open end except that of the process `gone` is
+    /// notified, at the earliest when a cut between them heals.
     fn break_link(&mut self, connection: super::network::LinkId, gone: Option<ProcessId>) {
         let link = &self.network.links[&connection];
         let (router, agent) = (link.router, link.agent);
@@ -162,13 +163,13 @@
         let cut = self.network.is_cut(router, agent);
         let mut events = Vec::new();
         if gone != Some(agent) && link.open_at_agent {
-            events.push(Event::LostAtAgent {
+            events.push(Event::ConnectionLostAtAgent {
                 process: agent,
                 connection,
             });
         }
         if gone != Some(router) && link.open_at_router {
-            events.push(Event::LostAtRouter {
+            events.push(Event::ConnectionLostAtRouter {
                 process: router,
                 connection,
             });
@@ -194,11 +195,17 @@
         let mut process = self.make_process(id, &name, &zone, role)?;
         process.back_end = back_end;
         process.order_target = order_target;
-        let life = process.information.incarnation;
+        let incarnation = process.information.incarnation;
         self.processes[id] = process;
-        self.observer.note_start(self.now, id);
-        self.introduce_to(id);
-        self.schedule(Duration::ZERO, Event::Tick { process: id, life });
+        self.observer.record_start(self.now, id);
+        self.provide_machine_list(id);
+        self.schedule(
+            Duration::ZERO,
+            Event::Tick {
+                process: id,
+                incarnation,
+            },
+        );
         Ok(())
     }
 
@@ -210,10 +217,10 @@
     }
 
     fn release_stalled(&mut self) {
-        let delay = CONNECT_TIMEOUT.mul_f64(self.random.random_range(RETRANSMISSION));
+        let delay = CONNECT_TIMEOUT.mul_f64(self.random.random_range(RETRANSMISSION_DELAY_FACTOR));
         let at = self.now + delay;
         for event in self.network.take_released() {
-            self.network.note_release(&event, at);
+            self.network.record_release(&event, at);
             self.schedule_at(at, event);
         }
     }
--- a/crates/stacktack-lab/src/emulator/mod.rs
+++ b/crates/stacktack-lab/src/emulator/mod.rs
@@ -1,8 +1,10 @@
-//! A whole fleet on virtual time, in one process, from a seed.
+//! Deterministic emulation of a whole fleet: one process, virtual time, one
+//! seed.
 //!
-//! The processes run the product's own [`Dispatcher`], [`Gate`] and
-//! [`Control`]; only what carries their messages is emulated. Observers count
-//! what engines and services really ran and what callers really got.
+//! The emulated processes run the product's own [`Dispatcher`], [`Gate`] and
+//! [`Control`]; only the transport of their messages is emulated. An observer
+//! counts the runs at engines and services, and the emulated callers record
+//! the responses that they receive, both independently of the product.
 //!
 //! [`Dispatcher`]: stacktack_core::dispatch::Dispatcher
 //! [`Gate`]: stacktack_core::gate::Gate
@@ -43,24 +45,24 @@
 use platform::Platform;
 use process::{Process, ProcessId};
 
-/// Time between looks of the observers.
-const OBSERVATION: Duration = Duration::from_millis(20);
+/// Time between two samples of the observer.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for control state and connections to settle before load begins.
+/// Time for control state and connections to settle before the load starts.
 pub const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// What an emulated fleet is made of.
+/// Size and settings of an emulated fleet.
 #[derive(Clone, Debug)]
 pub struct EmulatorPlan {
-    /// Sizes and limits.
+    /// Size and limits of the fleet.
     pub fleet: FleetPlan,
-    /// Rule of choice.
+    /// Placement policy of the routers.
     pub policy: Policy,
-    /// Seed of everything that is drawn.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// Bytes a second of control traffic of each process.
+    /// Control traffic budget of each process, in bytes per second.
     pub control_bytes_per_second: f64,
-    /// Protections in force.
+    /// Protections that are enabled.
     pub protections: Protections,
     /// Whether agents compete for the controller lease and send orders.
     pub orders: bool,
@@ -81,12 +83,12 @@
     callers: Callers,
     observer: Observer,
     random: ChaCha8Rng,
-    lives: u64,
+    last_incarnation: u64,
 }
 
 impl Emulator {
-    /// A fleet whose processes start at time 0, with its first configuration
-    /// in the table.
+    /// Creates a fleet whose processes start at time 0, with the first
+    /// configuration in the table.
     pub fn new(plan: EmulatorPlan) -> Result<Self, ChartError> {
         let mut emulator = Emulator {
             now: Time::default(),
@@ -101,41 +103,41 @@
             callers: Callers::default(),
             observer: Observer::new(plan.fleet.load_cap),
             random: ChaCha8Rng::seed_from_u64(plan.seed),
-            lives: 0,
+            last_incarnation: 0,
             plan,
         };
         emulator.add_processes()?;
-        emulator.introduce_all();
-        emulator.schedule(OBSERVATION, Event::Observe);
+        emulator.provide_machine_lists();
+        emulator.schedule(OBSERVATION_INTERVAL, Event::Observe);
         Ok(emulator)
     }
 
-    /// The time.
+    /// Current virtual time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Writes that the table took or refused as conflicts.
+    /// Number of writes that the table accepted or refused as conflicts.
     pub fn table_writes(&self) -> u64 {
         self.platform.table.operation_counts().0
     }
 
-    /// What the observers saw.
+    /// Observations of the run so far.
     pub fn observer(&self) -> &Observer {
         &self.observer
     }
 
-    /// What the callers got.
+    /// Requests of the callers and the responses that they received.
     pub fn callers(&self) -> &Callers {
         &self.callers
     }
 
-    /// All processes.
+    /// All processes, also those that are down, indexed by [`ProcessId`].
     pub fn processes(&self) -> &[Process] {
         &self.processes
     }
 
-    /// Runs until a time.
+    /// Handles all events up to and including `end`.
     pub fn run_until(&mut self, end: Time) -> Result<(), ChartError> {
         while let Some(next) = self.queue.peek() {
             if next.at > end {
@@ -151,7 +153,7 @@
         Ok(())
     }
 
-    /// Schedules an event after a span.
+    /// Schedules an event `after` the current time.
     pub fn schedule(&mut self, after: Duration, event: Event) {
         self.schedule_at(self.now + after, event);
     }
@@ -189,20 +191,27 @@
         let process = self.make_process(id, name, &zone_of(number), role)?;
         self.by_node.insert(process.node, id);
         self.by_gossip.insert(process.information.gossip, id);
-        let life = process.information.incarnation;
+        let incarnation = process.information.incarnation;
         self.processes.push(process);
-        self.schedule(Duration::ZERO, Event::Tick { process: id, life });
+        self.schedule(
+            Duration::ZERO,
+            Event::Tick {
+                process: id,
+                incarnation,
+            },
+        );
         Ok(())
     }
 
-    /// Every process reads the platform's machine list when it starts.
-    fn introduce_all(&mut self) {
+    /// Passes the platform's machine list to every process, which reads it when
+    /// it starts.
+    fn provide_machine_lists(&mut self) {
         for id in 0..self.processes.len() {
-            self.introduce_to(id);
+            self.provide_machine_list(id);
         }
     }
 
-    fn introduce_to(&mut self, id: ProcessId) {
+    fn provide_machine_list(&mut self, id: ProcessId) {
         let machines = self
             .processes
             .iter()
@@ -225,14 +234,17 @@
             }
         }
         match event {
-            Event::Tick { process, life } => self.on_tick(process, life),
+            Event::Tick {
+                process,
+                incarnation,
+            } => self.on_tick(process, incarnation),
             Event::Datagram {
                 process,
                 source,
                 bytes,
                 datagram,
             } => self.on_datagram(process, source, bytes, datagram),
-            Event::Opened { connection, .. } => self.on_opened(connection),
+            Event::ConnectionOpened { connection, .. } => self.on_connection_opened(connection),
             Event::ConnectFailed { process, agent } => self.on_connect_failed(process, agent),
             Event::ToAgent {
                 connection,
@@ -244,27 +256,34 @@
                 message,
                 ..
             } => self.on_to_router(connection, message),
-            Event::LostAtAgent { connection, .. } => self.on_lost_at_agent(connection),
-            Event::LostAtRouter { connection, .. } => self.on_lost_at_router(connection),
-            Event::Table {
+            Event::ConnectionLostAtAgent { connection, .. } => {
+                self.on_connection_lost_at_agent(connection)
+            }
+            Event::ConnectionLostAtRouter { connection, .. } => {
+                self.on_connection_lost_at_router(connection)
+            }
+            Event::TableRequest {
                 process,
-                life,
+                incarnation,
                 request,
                 operation,
-            } => self.on_table(process, life, request, &operation),
+            } => self.on_table_request(process, incarnation, request, &operation),
             Event::TableReply {
                 process,
-                life,
+                incarnation,
                 request,
                 reply,
-            } => self.on_table_reply(process, life, request, reply),
+            } => self.on_table_reply(process, incarnation, request, reply),
             Event::ReadDone {
                 process,
-                life,
+                incarnation,
                 read,
-            } => self.on_read_done(process, life, read),
+            } => self.on_read_done(process, incarnation, read),
             Event::OperatorReply { operator, reply } => self.on_operator_reply(operator, reply),
-            Event::EngineStep { agent, engine_life } => self.on_engine_step(agent, engine_life),
+            Event::EngineStep {
+                agent,
+                engine_incarnation,
+            } => self.on_engine_step(agent, engine_incarnation),
             Event::ServiceDone { agent, attempt } => self.on_service_done(agent, attempt),
             Event::Backend {
                 process,
@@ -273,23 +292,23 @@
             } => self.on_backend(process, attempt, event),
             Event::LeaseReply {
                 process,
-                life,
+                incarnation,
                 reply,
             } => {
-                if self.processes[process].information.incarnation == life {
+                if self.processes[process].information.incarnation == incarnation {
                     self.on_lease_reply(process, reply);
                 }
             }
             Event::Order { process, order } => self.on_order(process, order),
-            Event::Arrive(arrival) => self.on_arrive(arrival),
+            Event::Arrival(arrival) => self.on_arrival(arrival),
             Event::Fault(fault) => return self.on_fault(fault),
             Event::Observe => self.on_observe(),
         }
         Ok(())
     }
 
-    fn on_tick(&mut self, id: ProcessId, life: stacktack_wire::identity::Incarnation) {
-        if self.processes[id].information.incarnation != life {
+    fn on_tick(&mut self, id: ProcessId, incarnation: stacktack_wire::identity::Incarnation) {
+        if self.processes[id].information.incarnation != incarnation {
             return;
         }
         self.tick_control(id);
@@ -300,12 +319,18 @@
                 self.tick_orders(id);
             }
         }
-        let period = process::TICK;
-        self.schedule(period, Event::Tick { process: id, life });
+        let period = process::TICK_INTERVAL;
+        self.schedule(
+            period,
+            Event::Tick {
+                process: id,
+                incarnation,
+            },
+        );
     }
 
     fn on_observe(&mut self) {
         self.observer.sample(&self.processes);
-        self.schedule(OBSERVATION, Event::Observe);
+        self.schedule(OBSERVATION_INTERVAL, Event::Observe);
     }
 }
--- a/crates/stacktack-lab/src/emulator/network.rs
+++ b/crates/stacktack-lab/src/emulator/network.rs
@@ -1,4 +1,4 @@
-//! The emulated network: delays, cuts, ordered connections.
+//! The emulated network: delays, partitions (cuts) and ordered connections.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use super::event::Event;
 use super::process::ProcessId;
 
-/// Delay between two processes of one zone.
-const SAME_ZONE: Duration = Duration::from_micros(150);
+/// One-way delay between two processes of the same zone.
+const SAME_ZONE_DELAY: Duration = Duration::from_micros(150);
 
-/// Delay between two zones.
-const OTHER_ZONE: Duration = Duration::from_micros(700);
+/// One-way delay between processes of different zones.
+const CROSS_ZONE_DELAY: Duration = Duration::from_micros(700);
 
-/// Delay between any process and the platform.
+/// One-way delay between any process and the platform.
 pub const PLATFORM_DELAY: Duration = Duration::from_millis(2);
 
-/// Time after which connecting through a cut is given up.
+/// Time after which a connection attempt through a cut fails.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection between a router and an agent.
+/// Identifier of a connection between a router and an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
@@ -31,25 +31,27 @@
     pub router: ProcessId,
     /// The agent.
     pub agent: ProcessId,
-    /// Whether the router holds it.
+    /// Whether the connection is open at the router.
     pub open_at_router: bool,
-    /// Whether the agent holds it.
+    /// Whether the connection is open at the agent.
     pub open_at_agent: bool,
-    /// Arrival of the last message towards the agent.
+    /// Arrival time of the last message sent to the agent; later messages
+    /// arrive no earlier.
     pub last_to_agent: Time,
-    /// Arrival of the last message towards the router.
+    /// Arrival time of the last message sent to the router; later messages
+    /// arrive no earlier.
     pub last_to_router: Time,
 }
 
-/// Cuts, connections and messages that wait behind cuts.
+/// Cuts, connections, and messages that wait until a cut heals.
 #[derive(Debug, Default)]
 pub struct Network {
     cuts: BTreeSet<(ProcessId, ProcessId)>,
     platform_cuts: BTreeSet<ProcessId>,
     gossip_cuts: BTreeSet<ProcessId>,
-    /// All connections ever opened.
+    /// All connections that were ever opened.
     pub links: HashMap<LinkId, Link>,
-    /// Messages on connections that wait for a cut to heal.
+    /// Messages between two processes that wait until the cut between them heals.
     pub stalled: Vec<(ProcessId, ProcessId, Event)>,
     next_link: u64,
 }
@@ -59,12 +61,12 @@
 }
 
 impl Network {
-    /// Delay between two zones.
+    /// One-way delay between processes of the two zones.
     pub fn delay(left: &str, right: &str) -> Duration {
         if left == right {
-            SAME_ZONE
+            SAME_ZONE_DELAY
         } else {
-            OTHER_ZONE
+            CROSS_ZONE_DELAY
         }
     }
 
@@ -73,7 +75,7 @@
         self.cuts.contains(&pair(left, right))
     }
 
-    /// Cuts or heals two processes.
+    /// Cuts or heals the network between two processes.
     pub fn set_cut(&mut self, left: ProcessId, right: ProcessId, cut: bool) {
         if cut {
             self.cuts.insert(pair(left, right));
@@ -87,7 +89,7 @@
         self.platform_cuts.contains(&process)
     }
 
-    /// Cuts or heals a process and the platform.
+    /// Cuts or heals the network between a process and the platform.
     pub fn set_platform_cut(&mut self, process: ProcessId, cut: bool) {
         if cut {
             self.platform_cuts.insert(process);
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Messages that waited between two processes that are healed.
+    /// Removes and returns the stalled messages between processes that can
+    /// reach each other again.
     pub fn take_released(&mut self) -> Vec<Event> {
         let stalled = std::mem::take(&mut self.stalled);
         let (released, kept): (Vec<_>, Vec<_>) = stalled
@@ -106,12 +109,12 @@
         released.into_iter().map(|(_, _, event)| event).collect()
     }
 
-    /// Whether a process is cut off from all datagrams.
+    /// Whether a process can neither send nor receive datagrams.
     pub fn is_cut_from_gossip(&self, process: ProcessId) -> bool {
         self.gossip_cuts.contains(&process)
     }
 
-    /// Cuts or heals a process's datagrams.
+    /// Cuts or heals all datagrams from and to a process.
     pub fn set_gossip_cut(&mut self, process: ProcessId, cut: bool) {
         if cut {
             self.gossip_cuts.insert(process);
@@ -120,16 +123,17 @@
         }
     }
 
-    /// What waited arrives at a time; what is sent on its connection from now
-    /// on arrives behind it.
-    pub fn note_release(&mut self, event: &Event, at: Time) {
+    /// Records that a stalled message arrives at `at`, so that messages sent on
+    /// its connection from now on don't overtake it.
+    pub fn record_release(&mut self, event: &Event, at: Time) {
         match event {
-            Event::ToAgent { connection, .. } | Event::LostAtAgent { connection, .. } => {
+            Event::ToAgent { connection, .. } | Event::ConnectionLostAtAgent { connection, .. } => {
                 if let Some(link) = self.links.get_mut(connection) {
                     link.last_to_agent = link.last_to_agent.max(at);
                 }
             }
-            Event::ToRouter { connection, .. } | Event::LostAtRouter { connection, .. } => {
+            Event::ToRouter { connection, .. }
+            | Event::ConnectionLostAtRouter { connection, .. } => {
                 if let Some(link) = self.links.get_mut(connection) {
                     link.last_to_router = link.last_to_router.max(at);
                 }
@@ -138,7 +142,7 @@
         }
     }
 
-    /// A new connection.
+    /// Adds a connection that is open at the router and not yet at the agent.
     pub fn open(&mut self, router: ProcessId, agent: ProcessId) -> LinkId {
         self.next_link += 1;
         let id = LinkId(self.next_link);
@@ -154,7 +158,8 @@
         id
     }
 
-    /// Connections of a process.
+    /// All connections of a process ever opened, in the order of their
+    /// identifiers.
     pub fn links_of(&self, process: ProcessId) -> Vec<LinkId> {
         let mut links: Vec<LinkId> = self
             .links
--- a/crates/stacktack-lab/src/emulator/observer.rs
+++ b/crates/stacktack-lab/src/emulator/observer.rs
@@ -1,4 +1,5 @@
-//! What independent observers see: runs, versions, loads.
+//! Observations that are independent of the product: runs at back ends,
+//! configuration versions in use, lease holders and loads.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -9,59 +10,67 @@
 
 use super::process::{Process, ProcessId};
 
-/// Looks of 20 ms that the load bound reaches back: the three seconds in which
-/// news of loads spreads.
-pub const LOAD_WINDOW: usize = 150;
+/// Number of samples, 20 ms apart, over which the load bound takes the highest
+/// load of each engine: load gossip takes up to three seconds to spread.
+pub const LOAD_WINDOW_SAMPLES: usize = 150;
 
-/// One run at a back end.
+/// One run of an attempt at a back end.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// When it began.
+    /// Time at which the run began.
     pub at: Time,
     /// Agent of the back end.
     pub agent: ProcessId,
-    /// Configuration under which the router chose.
+    /// Version of the configuration with which the router chose the back end.
     pub version: ConfigurationVersion,
 }
 
-/// What was seen.
+/// Observations of one emulated fleet.
 #[derive(Debug, Default)]
 pub struct Observer {
     /// Runs by request.
     pub runs: HashMap<RequestId, Vec<Run>>,
-    /// Runs by idempotency key.
+    /// Number of runs of keyed service calls, by idempotency key.
     pub key_runs: HashMap<String, u32>,
-    /// When a process began to leave.
+    /// Time at which each process began to leave: it was drained or stopped, or
+    /// the platform listed its machine as leaving.
     pub leaving: BTreeMap<ProcessId, Time>,
-    /// When each version was first in force at each process, in its life.
+    /// Time at which the current incarnation of each process first used each
+    /// configuration version.
     pub in_force: HashMap<ProcessId, BTreeMap<ConfigurationVersion, Time>>,
-    /// When processes that were started again began their present lives.
+    /// Start time of the current incarnation of each restarted process.
     pub restarted_at: HashMap<ProcessId, Time>,
-    /// Versions that fell within a life.
+    /// Decreases of the configuration version within one incarnation: process,
+    /// highest version before, lower version after.
     pub version_decreases: Vec<(ProcessId, ConfigurationVersion, ConfigurationVersion)>,
-    /// Accepted versions, when and by which change.
+    /// Accepted configuration versions, with the time and the change
+    /// identifier.
     pub accepted: Vec<(ConfigurationVersion, Time, String)>,
-    /// Operators who lost a race and know it.
+    /// Number of changes that operators know to have lost against a concurrent
+    /// change.
     pub lost_races: u32,
-    /// Operators who do not know whether their change was accepted.
+    /// Number of changes of which operators do not know whether they were
+    /// accepted.
     pub unknown_applies: u32,
     holders: BTreeMap<u64, ProcessId>,
-    /// Times that two processes thought at once that they hold the lease, or
-    /// that an epoch had two holders.
+    /// Number of times that a process acted as lease holder although its epoch
+    /// had another holder, or a later epoch already had a holder.
     pub lease_conflicts: usize,
     load_windows: BTreeMap<ProcessId, VecDeque<f64>>,
-    /// Highest load seen as a share of the bound `max(cap * mean, mean +
-    /// largest request)`, where the mean is that of each engine's highest load
-    /// of the last [`LOAD_WINDOW`] looks, with one request more.
+    /// Highest load of any engine, as a fraction of the bound `max(cap * mean,
+    /// mean + largest request)`. The mean is taken over the highest load of
+    /// each engine in the last [`LOAD_WINDOW_SAMPLES`] samples, with the work of
+    /// one largest request added to their sum.
     pub max_load_bound_ratio: f64,
-    /// Largest work of a single request, for the bound.
+    /// Largest work of a single request so far, in work units; used by the load
+    /// bound.
     pub largest_work: f64,
-    /// Load cap, for the bound.
+    /// Load cap of the fleet, used by the load bound.
     pub load_cap: f64,
 }
 
 impl Observer {
-    /// Observers of a fleet with a load cap.
+    /// Creates the observer of a fleet with this load cap.
     pub fn new(load_cap: f64) -> Self {
         Observer {
             load_cap,
@@ -69,7 +78,7 @@
         }
     }
 
-    pub(super) fn note_run(
+    pub(super) fn record_run(
         &mut self,
         at: Time,
         agent: ProcessId,
@@ -83,36 +92,42 @@
         }
     }
 
-    /// A process acts as the holder of the controller lease.
-    pub(super) fn note_holder(&mut self, id: ProcessId, epoch: u64) {
+    /// Records that a process acts as the holder of the controller lease.
+    pub(super) fn record_holder(&mut self, id: ProcessId, epoch: u64) {
         let first = *self.holders.entry(epoch).or_insert(id);
         let newest = self.holders.keys().next_back().copied();
         let superseded = newest.is_some_and(|newest| newest > epoch);
         self.lease_conflicts += usize::from(first != id || superseded);
     }
 
-    /// Epochs of the controller lease that had a holder.
+    /// Number of epochs of the controller lease that had a holder.
     pub fn epochs(&self) -> usize {
         self.holders.len()
     }
 
-    pub(super) fn note_leaving(&mut self, now: Time, id: ProcessId) {
+    pub(super) fn record_leaving(&mut self, now: Time, id: ProcessId) {
         self.leaving.entry(id).or_insert(now);
     }
 
-    /// A process begins a new life.
-    pub(super) fn note_start(&mut self, now: Time, id: ProcessId) {
+    /// Records the start of a new incarnation and drops the observations of the
+    /// previous one.
+    pub(super) fn record_start(&mut self, now: Time, id: ProcessId) {
         self.leaving.remove(&id);
         self.restarted_at.insert(id, now);
         self.in_force.remove(&id);
     }
 
-    pub(super) fn note_version(&mut self, now: Time, id: ProcessId, version: ConfigurationVersion) {
+    pub(super) fn record_version(
+        &mut self,
+        now: Time,
+        id: ProcessId,
+        version: ConfigurationVersion,
+    ) {
         let versions = self.in_force.entry(id).or_default();
         versions.entry(version).or_insert(now);
     }
 
-    pub(super) fn note_fall(
+    pub(super) fn record_version_decrease(
         &mut self,
         id: ProcessId,
         from: ConfigurationVersion,
@@ -121,12 +136,13 @@
         self.version_decreases.push((id, from, to));
     }
 
-    pub(super) fn note_accepted(&mut self, now: Time, version: ConfigurationVersion, id: &str) {
+    pub(super) fn record_accepted(&mut self, now: Time, version: ConfigurationVersion, id: &str) {
         self.accepted.push((version, now, id.to_string()));
     }
 
-    /// Looks at all loads. What an agent believes of a peer was true at some
-    /// time in the window, so its mean is at most the mean of the peaks.
+    /// Samples the load of all engines. The load that an agent knows of a peer
+    /// was true at some time in the window, so the mean that the agent computes
+    /// is at most the mean of the peaks.
     pub(super) fn sample(&mut self, processes: &[Process]) {
         let mut busiest = 0.0f64;
         let mut peaks = 0.0;
@@ -139,7 +155,7 @@
             let load = if serves { process.load() } else { 0.0 };
             let window = self.load_windows.entry(id).or_default();
             window.push_back(load);
-            if window.len() > LOAD_WINDOW {
+            if window.len() > LOAD_WINDOW_SAMPLES {
                 window.pop_front();
             }
             if serves {
@@ -155,8 +171,9 @@
         }
     }
 
-    /// When every process that was up at acceptance, and still is, had a
-    /// version or a later one; none when some do not.
+    /// Time by which every process that was alive when the version was accepted,
+    /// and still is, used this version or a later one; `None` while some process
+    /// does not. Processes that restarted after the acceptance are left out.
     pub fn in_force_everywhere(
         &self,
         version: ConfigurationVersion,
@@ -165,11 +182,11 @@
     ) -> Option<Time> {
         let mut last = Time::default();
         for (id, process) in processes.iter().enumerate() {
-            let later_life = self
+            let restarted = self
                 .restarted_at
                 .get(&id)
                 .is_some_and(|at| *at > accepted_at);
-            if !process.alive || later_life {
+            if !process.alive || restarted {
                 continue;
             }
             let versions = self.in_force.get(&id)?;
@@ -179,8 +196,8 @@
         Some(last)
     }
 
-    /// Runs under a configuration older than one accepted more than `grace`
-    /// before.
+    /// Number of runs under a configuration older than one that was accepted
+    /// more than `grace` before the run.
     pub fn stale_runs(&self, grace: Duration) -> usize {
         let stale = |run: &&Run| {
             let mut accepted = self.accepted.iter();
@@ -189,7 +206,8 @@
         self.runs.values().flatten().filter(stale).count()
     }
 
-    /// Runs that began at a process more than `grace` after it began to leave.
+    /// Number of runs that began at a process more than `grace` after it began
+    /// to leave.
     pub fn late_runs(&self, grace: Duration) -> usize {
         let late = |run: &&Run| {
             let left = self.leaving.get(&run.agent);
--- a/crates/stacktack-lab/src/emulator/operator.rs
+++ b/crates/stacktack-lab/src/emulator/operator.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration of an emulated fleet.
+//! Operators that change the configuration of an emulated fleet.
 
 use std::time::Duration;
 
@@ -14,13 +14,14 @@
 use super::network::PLATFORM_DELAY;
 use super::Emulator;
 
-/// Processes that an operator tells of an accepted change.
-const HAND_OVERS: usize = 5;
+/// Number of random picks of a process to which an operator announces an
+/// accepted change.
+const CHANGE_ANNOUNCEMENTS: usize = 5;
 
-/// Time after which an operator takes a reply for lost.
+/// Time after which an operator regards a reply as lost.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An operator's application of one change.
+/// An operator that applies one change.
 pub struct Operator {
     apply: ChangeApplication,
     version: ConfigurationVersion,
@@ -28,7 +29,8 @@
 }
 
 impl Emulator {
-    /// An operator sets the load cap, on the head as it is now.
+    /// Starts an operator that sets the load cap, based on the current head of
+    /// the configuration.
     pub(super) fn begin_apply(&mut self, author: &str, load_cap: f64) {
         let Some(configuration) = self.platform.configuration() else {
             return;
@@ -82,22 +84,22 @@
                 let Operator {
                     version, change_id, ..
                 } = &self.operators[operator];
-                self.observer.note_accepted(self.now, *version, change_id);
-                self.hand_over(operator);
+                self.observer.record_accepted(self.now, *version, change_id);
+                self.announce_change(operator);
             }
             ApplyStep::LostRace => self.observer.lost_races += 1,
             ApplyStep::Unknown => self.observer.unknown_applies += 1,
         }
     }
 
-    /// Tells a few processes of an accepted change, so that it spreads even if
-    /// the table goes down right behind it.
-    fn hand_over(&mut self, operator: usize) {
+    /// Announces an accepted change to a few processes, so that it spreads even
+    /// if the table fails right after the write.
+    fn announce_change(&mut self, operator: usize) {
         let change = self.operators[operator].apply.change().clone();
         let Some(changes) = encode(&[change]) else {
             return;
         };
-        for _ in 0..HAND_OVERS {
+        for _ in 0..CHANGE_ANNOUNCEMENTS {
             let id = self.random.random_range(0..self.processes.len());
             let process = &self.processes[id];
             if process.alive && !process.frozen {
--- a/crates/stacktack-lab/src/emulator/orders.rs
+++ b/crates/stacktack-lab/src/emulator/orders.rs
@@ -1,8 +1,9 @@
 //! The controller lease and its orders in an emulated fleet.
 //!
-//! Every agent waits for the lease; its holder sends an order to each agent
-//! twice a second. Agents pass orders through their fence to the back end,
-//! which checks epochs itself only where its number is even.
+//! Every agent competes for the lease; the holder sends an order to each agent
+//! twice a second. An agent passes orders on to its back end only if its fence
+//! accepts their epoch; back ends of processes with an even index check the
+//! epoch as well.
 
 use std::time::Duration;
 
@@ -16,44 +17,50 @@
 use super::process::ProcessId;
 use super::Emulator;
 
-/// Length of the controller lease.
-const LEASE: Duration = Duration::from_secs(3);
+/// Duration of the controller lease.
+const LEASE_DURATION: Duration = Duration::from_secs(3);
 
-/// Time between two orders of the holder.
-const ORDER_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two rounds of orders from the lease holder.
+const ORDER_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Scope of the controller's orders.
-const SCOPE: &str = "controller";
+const ORDER_SCOPE: &str = "controller";
 
-/// An agent's part in orders.
+/// Controller lease and fence of one agent.
 pub struct OrderParticipant {
-    /// Its view of the lease.
+    /// Lease as the agent knows it.
     pub lease: Lease,
-    /// Highest epochs it saw.
+    /// Highest epochs that the agent has seen.
     pub fence: Fence,
-    next_order: stacktack_core::time::Time,
+    next_order_at: stacktack_core::time::Time,
 }
 
 impl OrderParticipant {
-    /// A participant of this name and life.
+    /// Creates a participant that takes the lease under the name `holder`.
     pub fn new(holder: String, protections: stacktack_core::protection::Protections) -> Self {
         OrderParticipant {
-            lease: Lease::new(String::from("lease/controller"), holder, LEASE, protections),
+            lease: Lease::new(
+                String::from("lease/controller"),
+                holder,
+                LEASE_DURATION,
+                protections,
+            ),
             fence: Fence::default(),
-            next_order: Default::default(),
+            next_order_at: Default::default(),
         }
     }
 }
 
-/// What a back end did with orders.
+/// Back end of an agent, as the target of orders.
 #[derive(Debug, Default)]
 pub struct OrderTarget {
-    /// The stand-in's state.
+    /// Order state of the stand-in.
     pub state: OrderState,
 }
 
 impl OrderTarget {
-    /// The target at this place; even ones check fences.
+    /// Creates the target at the agent of this index; it checks fences if the
+    /// index is even.
     pub fn new(id: ProcessId) -> Self {
         OrderTarget {
             state: OrderState {
@@ -63,7 +70,7 @@
         }
     }
 
-    /// Orders followed after one of a later epoch.
+    /// Number of orders that were followed after an order of a later epoch.
     pub fn epoch_decreases(&self) -> usize {
         let mut highest = 0;
         let mut epoch_decreases = 0;
@@ -92,14 +99,14 @@
         let Some(epoch) = epoch else {
             return;
         };
-        self.observer.note_holder(id, epoch);
+        self.observer.record_holder(id, epoch);
         let due = self.processes[id]
             .orders
             .as_mut()
             .is_some_and(|participant| {
-                let due = now >= participant.next_order;
+                let due = now >= participant.next_order_at;
                 if due {
-                    participant.next_order = now + ORDER_PAUSE;
+                    participant.next_order_at = now + ORDER_INTERVAL;
                 }
                 due
             });
@@ -117,10 +124,10 @@
         if reply == TableReply::Lost {
             return;
         }
-        let life = self.processes[id].information.incarnation;
+        let incarnation = self.processes[id].information.incarnation;
         let event = Event::LeaseReply {
             process: id,
-            life,
+            incarnation,
             reply,
         };
         self.schedule(delay, event);
@@ -139,7 +146,7 @@
                 continue;
             }
             let order = Order {
-                scope: String::from(SCOPE),
+                scope: String::from(ORDER_SCOPE),
                 epoch,
                 action: OrderAction::Role {
                     role: format!("role-{epoch}"),
@@ -164,11 +171,11 @@
         else {
             return;
         };
-        let passed = participant
+        let fence_check = participant
             .fence
             .check(&order.scope, order.epoch, protections);
-        if passed.is_ok() && target.state.apply(order).is_err() {
-            log::debug!(target: "emulator", "a back end refused an order its agent let pass");
+        if fence_check.is_ok() && target.state.apply(order).is_err() {
+            log::debug!(target: "emulator", "back end refused an order that the fence of its agent accepted");
         }
     }
 }
--- a/crates/stacktack-lab/src/emulator/platform.rs
+++ b/crates/stacktack-lab/src/emulator/platform.rs
@@ -1,4 +1,5 @@
-//! The emulated platform: the stand-in's table, with faults.
+//! The emulated platform: the table of the platform stand-in, snapshots and
+//! faults.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,21 +21,21 @@
 use super::process::ProcessId;
 use super::Emulator;
 
-/// What the control state reads.
+/// A read that the control state of a process requests.
 #[derive(Debug)]
 pub enum ReadRequest {
-    /// The head row.
+    /// Read the head row.
     Head,
-    /// A snapshot.
+    /// Read a snapshot.
     Snapshot(SnapshotReference),
-    /// Changes behind a version, from one back.
+    /// Read the changes after version `held` up to `change_id`.
     Changes {
-        /// Version held.
+        /// Version that the reader already has.
         held: ConfigurationVersion,
-        /// Change at the head.
+        /// Identifier of the change at the head.
         change_id: String,
     },
-    /// Machines about to be taken away.
+    /// Read the machines that are about to be taken away.
     Leaving,
 }
 
@@ -45,28 +46,28 @@
     Head(HeadRow),
     /// A snapshot.
     Snapshot(Box<Configuration>),
-    /// Changes.
+    /// Encoded changes, oldest first.
     Changes(EncodedChanges),
     /// Machines about to be taken away.
     Leaving(Vec<(NodeId, Incarnation)>),
-    /// No answer.
+    /// The read failed.
     Failed,
 }
 
-/// The platform.
+/// State of the platform.
 pub struct Platform {
-    /// The table.
+    /// Table with the configuration, the ledger and the leases.
     pub table: Table,
-    /// Snapshots by key.
+    /// Snapshots of the configuration by object key.
     pub snapshots: HashMap<String, SnapshotObject>,
-    /// How the table behaves.
+    /// Current fault of the store.
     pub fault: StoreFault,
     /// Machines about to be taken away.
     pub leaving: Vec<(NodeId, Incarnation)>,
 }
 
 impl Platform {
-    /// A platform that holds a first configuration.
+    /// Creates a platform whose table holds the first configuration.
     pub fn new(document: &Document) -> Self {
         let mut platform = Platform {
             table: Table::default(),
@@ -113,14 +114,14 @@
         }
     }
 
-    /// The head row with its version, past any fault, for operators.
+    /// The head row with the version of its row, read regardless of any fault.
     pub fn head(&mut self) -> Option<(Row, HeadRow)> {
         let row = self.row(HEAD_KEY)?;
         let head = serde_json::from_str(&row.value).ok()?;
         Some((row, head))
     }
 
-    /// The configuration at the head, past any fault, for operators.
+    /// The configuration at the head, read regardless of any fault.
     pub fn configuration(&mut self) -> Option<Configuration> {
         let (_, head) = self.head()?;
         let changes = self.chain(ConfigurationVersion(0), head.change_id)?;
@@ -128,8 +129,8 @@
         Some(configuration)
     }
 
-    /// Carries out an operation under the fault of the moment; the reply is
-    /// lost when there is none.
+    /// Applies an operation under the current fault and returns its reply, or
+    /// [`TableReply::Lost`] if no reply reaches the caller.
     pub fn apply(&mut self, operation: &TableOperation) -> TableReply {
         match self.fault {
             StoreFault::Down => TableReply::Lost,
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Carries out a read of the control state; returns its delay.
+    /// Performs a read for the control state and returns the result with its
+    /// delay.
     pub fn read(&mut self, request: &ReadRequest) -> (Read, Duration) {
         if self.fault == StoreFault::Down {
             return (Read::Failed, Duration::from_secs(1));
@@ -187,10 +189,10 @@
 }
 
 impl Emulator {
-    pub(super) fn on_table(
+    pub(super) fn on_table_request(
         &mut self,
         process: ProcessId,
-        life: Incarnation,
+        incarnation: Incarnation,
         request: Option<RequestId>,
         operation: &TableOperation,
     ) {
@@ -201,7 +203,7 @@
         };
         let event = Event::TableReply {
             process,
-            life,
+            incarnation,
             request,
             reply,
         };
@@ -213,11 +215,11 @@
     pub(super) fn on_table_reply(
         &mut self,
         id: ProcessId,
-        life: Incarnation,
+        incarnation: Incarnation,
         request: RequestId,
         reply: TableReply,
     ) {
-        if self.processes[id].information.incarnation == life {
+        if self.processes[id].information.incarnation == incarnation {
             let input = stacktack_core::dispatch::DispatchInput::FromTable { request, reply };
             self.handle_dispatch(id, input);
         }
--- a/crates/stacktack-lab/src/emulator/process.rs
+++ b/crates/stacktack-lab/src/emulator/process.rs
@@ -1,4 +1,4 @@
-//! An emulated process: a router, or an agent with its back end.
+//! Emulated processes: a router, or an agent with its back end.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,66 +19,67 @@
 use super::orders::{OrderParticipant, OrderTarget};
 use super::Emulator;
 
-/// Place of a process in the fleet.
+/// Index of a process in the fleet; a restart keeps it.
 pub type ProcessId = usize;
 
-/// Time between a process's ticks.
-pub const TICK: Duration = Duration::from_millis(20);
+/// Time between two ticks of a process.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The traffic side of a process.
+/// Request-handling state of a process and its connections.
 pub enum Traffic {
-    /// A router: its dispatcher and its connections by agent.
+    /// State of a router.
     Router {
         /// The dispatcher.
         dispatcher: Box<Dispatcher>,
         /// Connections by agent.
         links: HashMap<NodeId, LinkId>,
     },
-    /// An agent: its gate and its connections.
+    /// State of an agent.
     Agent {
         /// The gate.
         gate: Box<Gate>,
-        /// Connections by the gate's numbers.
+        /// Connections by the identifier that the gate uses.
         links: HashMap<ConnectionId, LinkId>,
     },
 }
 
-/// A process.
+/// A router or agent of the fleet.
 pub struct Process {
-    /// Name.
+    /// Name, unique in the fleet.
     pub name: String,
-    /// Identifier.
+    /// Identifier, derived from the name.
     pub node: NodeId,
-    /// What it does.
+    /// Router or agent.
     pub role: MemberRole,
-    /// Who it is, with its life.
+    /// Name, incarnation, zone and addresses that the process announces.
     pub information: MemberInformation,
-    /// Control state.
+    /// Membership and configuration state.
     pub control: Control,
-    /// Traffic side.
+    /// Request-handling state.
     pub traffic: Traffic,
-    /// Back end of an agent; it has a life of its own.
+    /// Back end of an agent; it starts and ends independently of the agent.
     pub back_end: Option<BackEndModel>,
-    /// An agent's part in orders.
+    /// Controller lease and fence of an agent.
     pub orders: Option<OrderParticipant>,
-    /// What an agent's back end did with orders; it outlives the agent.
+    /// Orders that the agent's back end followed; kept when the agent restarts.
     pub order_target: Option<OrderTarget>,
-    /// Configuration in force at the traffic side.
+    /// Configuration that the router or agent uses for requests.
     pub configuration: Arc<Configuration>,
-    /// Highest version that was in force in this life.
+    /// Highest configuration version that this incarnation used.
     pub highest_version: ConfigurationVersion,
-    /// Whether it is up.
+    /// Whether the process is running, possibly paused.
     pub alive: bool,
-    /// Whether it is paused.
+    /// Whether the process is paused; its events then wait in `inbox`.
     pub frozen: bool,
-    /// Whether it is stopping: no new work, what is in flight ends.
+    /// Whether the process is stopping: it accepts no new work and ends when
+    /// the work in flight has ended.
     pub stopping: bool,
-    /// Events that wait for a paused process.
+    /// Events that wait until the paused process resumes.
     pub inbox: Vec<Event>,
 }
 
 impl Process {
-    /// Work units in flight at an agent divided by capacity.
+    /// Work units in flight at an agent divided by its capacity; 0 for a router.
     pub fn load(&self) -> f64 {
         match &self.traffic {
             Traffic::Agent { gate, .. } => gate.normalised_load(),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether no new work is taken.
+    /// Whether the process refuses new work.
     pub fn is_draining(&self) -> bool {
         match &self.traffic {
             Traffic::Agent { gate, .. } => gate.is_draining(),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Attempts or requests under way.
+    /// Number of attempts (agent) or requests (router) in flight.
     pub fn in_flight(&self) -> usize {
         match &self.traffic {
             Traffic::Agent { gate, .. } => gate.in_flight(),
@@ -104,7 +105,7 @@
 }
 
 impl Emulator {
-    /// A process in a new life.
+    /// Creates a process in a new incarnation.
     pub(super) fn make_process(
         &mut self,
         id: ProcessId,
@@ -112,10 +113,10 @@
         zone: &str,
         role: MemberRole,
     ) -> Result<Process, ChartError> {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let information = MemberInformation {
             name: name.to_string(),
-            incarnation: Incarnation(self.lives),
+            incarnation: Incarnation(self.last_incarnation),
             role,
             zone: zone.to_string(),
             address: address(id, 7_000),
@@ -127,7 +128,7 @@
             .plan
             .seed
             .wrapping_mul(1_000_003)
-            .wrapping_add(self.lives);
+            .wrapping_add(self.last_incarnation);
         let control = Control::new(
             information.clone(),
             self.plan.control_bytes_per_second,
@@ -181,7 +182,7 @@
     }
 }
 
-/// Loopback address of a process, unique by its place.
+/// Loopback address of a process, unique by its index.
 fn address(id: ProcessId, port: u16) -> SocketAddr {
     let [_, _, high, low] = (id as u32).to_be_bytes();
     SocketAddr::from(([127, 1, high, low], port))
--- a/crates/stacktack-lab/src/emulator/router.rs
+++ b/crates/stacktack-lab/src/emulator/router.rs
@@ -1,4 +1,4 @@
-//! The traffic side of emulated routers.
+//! Request handling of emulated routers.
 
 use std::sync::Arc;
 
@@ -22,20 +22,20 @@
             dispatcher.handle(now, input, &mut outputs);
         }
         for output in outputs {
-            self.perform_dispatch(id, output);
+            self.execute_dispatch_output(id, output);
         }
     }
 
-    fn perform_dispatch(&mut self, id: ProcessId, output: DispatchOutput) {
+    fn execute_dispatch_output(&mut self, id: ProcessId, output: DispatchOutput) {
         match output {
             DispatchOutput::Connect(agent) => self.connect(id, agent),
             DispatchOutput::Disconnect(agent) => self.disconnect(id, agent),
             DispatchOutput::ToAgent { agent, message } => self.send_to_agent(id, agent, message),
             DispatchOutput::ToTable { request, operation } => {
-                let life = self.processes[id].information.incarnation;
-                let event = Event::Table {
+                let incarnation = self.processes[id].information.incarnation;
+                let event = Event::TableRequest {
                     process: id,
-                    life,
+                    incarnation,
                     request,
                     operation,
                 };
@@ -79,7 +79,7 @@
         if let Traffic::Router { links, .. } = &mut self.processes[id].traffic {
             links.insert(agent, connection);
         }
-        let event = Event::Opened {
+        let event = Event::ConnectionOpened {
             process: target,
             connection,
         };
@@ -98,15 +98,15 @@
         };
         link.open_at_router = false;
         let target = link.agent;
-        let event = Event::LostAtAgent {
+        let event = Event::ConnectionLostAtAgent {
             process: target,
             connection,
         };
         self.send_on_link(id, target, connection, event);
     }
 
-    /// Sends what belongs to a connection towards its agent: behind all that
-    /// was sent before it, and not before a cut heals.
+    /// Sends an event on a connection to its agent. The event arrives behind all
+    /// that were sent before it, and waits while the network is cut.
     fn send_on_link(&mut self, id: ProcessId, target: ProcessId, connection: LinkId, event: Event) {
         if self.network.is_cut(id, target) {
             self.network.stalled.push((id, target, event));
@@ -146,11 +146,11 @@
         let Some(link) = self.network.links.get(&connection) else {
             return;
         };
-        let matched = self
+        let attempt_matching = self
             .plan
             .protections
             .is_enabled(Protection::AttemptMatching);
-        if !link.open_at_router && matched {
+        if !link.open_at_router && attempt_matching {
             return;
         }
         let (router, agent) = (link.router, self.processes[link.agent].node);
@@ -161,7 +161,7 @@
         self.handle_dispatch(router, input);
     }
 
-    pub(super) fn on_lost_at_router(&mut self, connection: LinkId) {
+    pub(super) fn on_connection_lost_at_router(&mut self, connection: LinkId) {
         let Some(link) = self.network.links.get_mut(&connection) else {
             return;
         };
