--- a/crates/stacktack-lab/src/scenario/check.rs
+++ b/crates/stacktack-lab/src/scenario/check.rs
@@ -1,70 +1,75 @@
-//! What scenarios expect, and whether it held.
+//! Expectations of scenarios and their checks.
 
 use std::time::Duration;
 
 use stacktack_core::problem::Outcome;
 use stacktack_wire::identity::ConfigurationVersion;
 
-use super::parse::{read_duration, read_number};
+use super::parse::{parse_duration, parse_number};
 use crate::emulator::callers::Ending;
 use crate::emulator::Emulator;
 
-/// Tolerance of the load bound: what passes between two looks.
-const BOUND_TOLERANCE: f64 = 1.0;
+/// Highest accepted load of an engine, as a fraction of the load bound; 1.0
+/// leaves no tolerance for changes between two samples.
+const MAX_LOAD_BOUND_RATIO: f64 = 1.0;
 
-/// One expectation.
+/// Something that a scenario expects of its run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expectation {
-    /// Each caller got its own answer: whole ones byte for byte, others a true
-    /// beginning; nothing came after an end; no cut one looks whole.
+    /// Each caller received the response to its own request: a whole response
+    /// byte for byte, any other a prefix of it. Nothing arrived after an end, and
+    /// no response that was cut off looks whole.
     OwnAnswers,
-    /// Each refused as not run did not run, then or later.
+    /// No request that was refused as not run ran, before or after the refusal.
     NotRunTrue,
-    /// Requests that may run once ran at most once; so did each key.
+    /// Requests that may run at most once did so, and so did each idempotency
+    /// key.
     AtMostOnce,
-    /// At least this share of requests got a whole answer.
+    /// At least this fraction of requests got a whole response.
     Answered(f64),
-    /// No request was cut or left unknown.
+    /// Each request got a whole response or was refused as not run.
     NoneLost,
-    /// Nothing began at a leaving process later than this after it began to
-    /// leave.
+    /// No run began at a leaving process later than this after the process began
+    /// to leave.
     NoNewWork(Duration),
-    /// Nothing ran under a configuration older than one accepted this long
-    /// before.
+    /// No run used a configuration older than one that was accepted more than
+    /// this before the run.
     NoStaleRuns(Duration),
-    /// Accepted versions were in force everywhere within this time.
+    /// Each accepted version was in force at all processes within this time.
     InForce(Duration),
-    /// Processes that started again had a configuration within this time.
+    /// Each restarted process had a configuration within this time.
     Ready(Duration),
-    /// No process fell back to an earlier version.
+    /// No process went back to an earlier version within one incarnation.
     VersionsRise,
-    /// Exactly this many changes were accepted, under versions of their own.
+    /// Exactly this many changes were accepted, each under its own version.
     Accepted(usize),
-    /// Mean runs for each request that ran.
+    /// The mean number of runs of each request that ran is at most this.
     RunsPerRequest(f64),
     /// Each request ended at most this long after it was sent.
     EndedWithin(Duration),
-    /// Requests that got no answer were told so within this time.
+    /// Each request that got a problem response got it within this time.
     GivenUpWithin(Duration),
-    /// Refusals name a time to come back.
+    /// Each problem response names a time for the retry, except for requests
+    /// that ran.
     RetryAfter,
-    /// No engine was over `max(cap * mean, mean + one request)`.
+    /// No engine was above the load bound `max(cap * mean, mean + one request)`.
     LoadBound,
-    /// No two processes held the controller lease at once.
+    /// No two processes held the controller lease at the same time.
     OneHolder,
     /// Some process holds the controller lease at the end.
     LeaseHeld,
-    /// No back end followed an order of an older epoch after one of a later.
+    /// No back end followed an order after an order of a later epoch.
     OrdersRise,
     /// At least this many epochs of the lease had a holder.
     Epochs(usize),
-    /// Requests sent in all, so that a scenario is not about nothing.
+    /// At least this many requests were sent; without it a scenario without load
+    /// would pass.
     Sent(usize),
 }
 
 impl Expectation {
-    /// Reads the words behind `expect`.
-    pub fn read(words: &[&str]) -> Result<Self, String> {
+    /// Parses the words after `expect`.
+    pub fn parse(words: &[&str]) -> Result<Self, String> {
         match words {
             ["own-answers"] => Ok(Expectation::OwnAnswers),
             ["not-run-true"] => Ok(Expectation::NotRunTrue),
@@ -75,25 +80,25 @@
             ["one-holder"] => Ok(Expectation::OneHolder),
             ["lease-held"] => Ok(Expectation::LeaseHeld),
             ["orders-rise"] => Ok(Expectation::OrdersRise),
-            ["epochs", count] => Ok(Expectation::Epochs(read_number(count)?)),
+            ["epochs", count] => Ok(Expectation::Epochs(parse_number(count)?)),
             ["load-bound"] => Ok(Expectation::LoadBound),
-            ["answered", share] => Ok(Expectation::Answered(read_number(share)?)),
-            ["accepted", count] => Ok(Expectation::Accepted(read_number(count)?)),
-            ["sent", count] => Ok(Expectation::Sent(read_number(count)?)),
-            ["runs-per-request", most] => Ok(Expectation::RunsPerRequest(read_number(most)?)),
-            ["no-new-work", "after", grace] => Ok(Expectation::NoNewWork(read_duration(grace)?)),
+            ["answered", share] => Ok(Expectation::Answered(parse_number(share)?)),
+            ["accepted", count] => Ok(Expectation::Accepted(parse_number(count)?)),
+            ["sent", count] => Ok(Expectation::Sent(parse_number(count)?)),
+            ["runs-per-request", max] => Ok(Expectation::RunsPerRequest(parse_number(max)?)),
+            ["no-new-work", "after", grace] => Ok(Expectation::NoNewWork(parse_duration(grace)?)),
             ["no-stale-runs", "after", grace] => {
-                Ok(Expectation::NoStaleRuns(read_duration(grace)?))
+                Ok(Expectation::NoStaleRuns(parse_duration(grace)?))
             }
-            ["in-force", "within", span] => Ok(Expectation::InForce(read_duration(span)?)),
-            ["ready", "within", span] => Ok(Expectation::Ready(read_duration(span)?)),
-            ["given-up", "within", span] => Ok(Expectation::GivenUpWithin(read_duration(span)?)),
-            ["ended", "within", span] => Ok(Expectation::EndedWithin(read_duration(span)?)),
-            _ => Err(format!("{} is no expectation", words.join(" "))),
+            ["in-force", "within", span] => Ok(Expectation::InForce(parse_duration(span)?)),
+            ["ready", "within", span] => Ok(Expectation::Ready(parse_duration(span)?)),
+            ["given-up", "within", span] => Ok(Expectation::GivenUpWithin(parse_duration(span)?)),
+            ["ended", "within", span] => Ok(Expectation::EndedWithin(parse_duration(span)?)),
+            _ => Err(format!("{} is not an expectation", words.join(" "))),
         }
     }
 
-    /// Whether it held; the text says what was seen otherwise.
+    /// Checks the expectation after a run. The error says what was observed.
     pub fn check(&self, emulator: &Emulator) -> Result<(), String> {
         match self {
             Expectation::OwnAnswers => check_own_answers(emulator),
@@ -101,61 +106,66 @@
             Expectation::AtMostOnce => check_at_most_once(emulator),
             Expectation::Answered(share) => check_answered(emulator, *share),
             Expectation::NoneLost => check_none_lost(emulator),
-            Expectation::NoNewWork(grace) => none(
+            Expectation::NoNewWork(grace) => ensure_none(
                 emulator.observer().late_runs(*grace),
                 "runs began at a leaving process",
             ),
-            Expectation::NoStaleRuns(grace) => none(
+            Expectation::NoStaleRuns(grace) => ensure_none(
                 emulator.observer().stale_runs(*grace),
-                "runs were under an old configuration",
+                "runs used an outdated configuration",
             ),
             Expectation::InForce(span) => check_in_force(emulator, *span),
             Expectation::Ready(span) => check_ready(emulator, *span),
-            Expectation::VersionsRise => {
-                none(emulator.observer().version_decreases.len(), "versions fell")
-            }
+            Expectation::VersionsRise => ensure_none(
+                emulator.observer().version_decreases.len(),
+                "configuration versions went back",
+            ),
             Expectation::Accepted(count) => check_accepted(emulator, *count),
-            Expectation::RunsPerRequest(most) => check_runs(emulator, *most),
+            Expectation::RunsPerRequest(max) => check_runs(emulator, *max),
             Expectation::EndedWithin(span) => check_ended(emulator, *span),
             Expectation::GivenUpWithin(span) => check_given_up(emulator, *span),
             Expectation::RetryAfter => check_retry_after(emulator),
             Expectation::LoadBound => check_bound(emulator),
-            Expectation::OneHolder => none(
+            Expectation::OneHolder => ensure_none(
                 emulator.observer().lease_conflicts,
                 "times two processes held the lease",
             ),
             Expectation::LeaseHeld => {
-                let held = emulator.processes().iter().any(|process| {
+                let lease_held = emulator.processes().iter().any(|process| {
                     let participant = process.orders.as_ref();
-                    participant.is_some_and(|held| held.lease.epoch(emulator.now()).is_some())
+                    participant.is_some_and(|participant| {
+                        participant.lease.epoch(emulator.now()).is_some()
+                    })
                 });
-                hold(held, || String::from("nobody holds the lease at the end"))
+                ensure(lease_held, || {
+                    String::from("no process holds the lease at the end")
+                })
             }
             Expectation::OrdersRise => check_orders(emulator),
             Expectation::Epochs(count) => {
                 let seen = emulator.observer().epochs();
-                hold(seen >= *count, || {
+                ensure(seen >= *count, || {
                     format!("only {seen} epochs had a holder")
                 })
             }
             Expectation::Sent(count) => {
                 let sent = emulator.callers().requests.len();
-                hold(sent >= *count, || format!("only {sent} requests were sent"))
+                ensure(sent >= *count, || format!("only {sent} requests were sent"))
             }
         }
     }
 }
 
-fn hold(held: bool, text: impl FnOnce() -> String) -> Result<(), String> {
-    if held {
+fn ensure(condition: bool, message: impl FnOnce() -> String) -> Result<(), String> {
+    if condition {
         Ok(())
     } else {
-        Err(text())
+        Err(message())
     }
 }
 
-fn none(count: usize, what: &str) -> Result<(), String> {
-    hold(count == 0, || format!("{count} {what}"))
+fn ensure_none(count: usize, what: &str) -> Result<(), String> {
+    ensure(count == 0, || format!("{count} {what}"))
 }
 
 fn check_own_answers(emulator: &Emulator) -> Result<(), String> {
@@ -163,18 +173,18 @@
     let wrong = callers
         .requests
         .values()
-        .filter(|held| !held.matches_expected())
+        .filter(|request| !request.matches_expected())
         .count();
     let false_ends = callers
         .requests
         .values()
-        .filter(|held| held.is_cut_but_looks_whole())
+        .filter(|request| request.is_cut_but_looks_whole())
         .count();
-    none(wrong, "callers got what is not their answer")?;
-    none(false_ends, "cut answers look whole")?;
-    none(
+    ensure_none(wrong, "callers received a response that is not theirs")?;
+    ensure_none(false_ends, "responses that were cut off look whole")?;
+    ensure_none(
         callers.received_after_end as usize,
-        "parts came after the end",
+        "response parts arrived after the end",
     )
 }
 
@@ -184,15 +194,15 @@
         .callers()
         .requests
         .iter()
-        .filter(|(id, held)| {
+        .filter(|(id, request)| {
             let refused = matches!(
-                &held.ending,
+                &request.ending,
                 Ending::Problem(problem) if problem.outcome == Outcome::NotRun
             );
             refused && runs.contains_key(id)
         })
         .count();
-    none(false_refusals, "requests refused as not run did run")
+    ensure_none(false_refusals, "requests refused as not run did run")
 }
 
 fn check_at_most_once(emulator: &Emulator) -> Result<(), String> {
@@ -201,37 +211,37 @@
         .callers()
         .requests
         .iter()
-        .filter(|(_, held)| held.at_most_once)
+        .filter(|(_, request)| request.at_most_once)
         .filter(|(id, _)| observer.runs.get(id).is_some_and(|runs| runs.len() > 1))
         .count();
-    none(repeated, "requests ran more than once")?;
+    ensure_none(repeated, "requests ran more than once")?;
     let mut by_key: std::collections::HashMap<&str, usize> = std::collections::HashMap::new();
-    for (id, held) in &emulator.callers().requests {
-        if let Some(key) = &held.key {
+    for (id, request) in &emulator.callers().requests {
+        if let Some(key) = &request.key {
             *by_key.entry(key).or_insert(0) += observer.runs.get(id).map_or(0, Vec::len);
         }
     }
     let keys = by_key.values().filter(|count| **count > 1).count();
-    none(keys, "keys ran more than once")
+    ensure_none(keys, "keys ran more than once")
 }
 
 fn check_answered(emulator: &Emulator, share: f64) -> Result<(), String> {
     let requests = &emulator.callers().requests;
     let whole = requests
         .values()
-        .filter(|held| held.ending == Ending::Whole)
+        .filter(|request| request.ending == Ending::Whole)
         .count();
     let seen = whole as f64 / requests.len().max(1) as f64;
-    hold(seen >= share, || {
+    ensure(seen >= share, || {
         format!("only {seen:.3} were answered: {}", endings(emulator))
     })
 }
 
-/// How requests ended, counted by kind.
+/// Number of requests by how they ended.
 pub fn endings(emulator: &Emulator) -> String {
     let mut counts = std::collections::BTreeMap::new();
-    for held in emulator.callers().requests.values() {
-        let name = match &held.ending {
+    for request in emulator.callers().requests.values() {
+        let name = match &request.ending {
             Ending::Open => String::from("open"),
             Ending::Whole => String::from("whole"),
             Ending::RouterGone => String::from("router gone"),
@@ -248,13 +258,13 @@
         .callers()
         .requests
         .values()
-        .filter(|held| match &held.ending {
+        .filter(|request| match &request.ending {
             Ending::Whole => false,
             Ending::Problem(problem) => problem.outcome != Outcome::NotRun,
             Ending::Open | Ending::Cut(_) | Ending::RouterGone => true,
         })
         .count();
-    hold(lost == 0, || {
+    ensure(lost == 0, || {
         format!("{lost} requests were lost: {}", endings(emulator))
     })
 }
@@ -267,7 +277,7 @@
             return Err(format!("version {version} is not in force everywhere"));
         };
         let took = at.since(*accepted_at);
-        hold(took <= span, || format!("version {version} took {took:?}"))?;
+        ensure(took <= span, || format!("version {version} took {took:?}"))?;
     }
     Ok(())
 }
@@ -282,7 +292,7 @@
             return Err(format!("{name} never had a configuration"));
         };
         let took = first.since(*started_at);
-        hold(took <= span, || format!("{name} took {took:?}"))?;
+        ensure(took <= span, || format!("{name} took {took:?}"))?;
     }
     Ok(())
 }
@@ -291,16 +301,16 @@
     let accepted = &emulator.observer().accepted;
     let versions: std::collections::BTreeSet<ConfigurationVersion> =
         accepted.iter().map(|(version, _, _)| *version).collect();
-    hold(accepted.len() == count && versions.len() == count, || {
-        format!("accepted were {accepted:?}")
+    ensure(accepted.len() == count && versions.len() == count, || {
+        format!("accepted changes were {accepted:?}")
     })
 }
 
-fn check_runs(emulator: &Emulator, most: f64) -> Result<(), String> {
+fn check_runs(emulator: &Emulator, max: f64) -> Result<(), String> {
     let runs = &emulator.observer().runs;
     let total: usize = runs.values().map(Vec::len).sum();
     let mean = total as f64 / runs.len().max(1) as f64;
-    hold(mean <= most, || {
+    ensure(mean <= max, || {
         format!("{mean:.3} runs for each request that ran")
     })
 }
@@ -310,9 +320,13 @@
         .callers()
         .requests
         .values()
-        .filter(|held| held.ended_at.is_none_or(|at| at.since(held.sent_at) > span))
+        .filter(|request| {
+            request
+                .ended_at
+                .is_none_or(|at| at.since(request.sent_at) > span)
+        })
         .count();
-    hold(late == 0, || {
+    ensure(late == 0, || {
         format!("{late} requests took longer: {}", endings(emulator))
     })
 }
@@ -322,10 +336,14 @@
         .callers()
         .requests
         .values()
-        .filter(|held| matches!(held.ending, Ending::Problem(_)))
-        .filter(|held| held.ended_at.is_none_or(|at| at.since(held.sent_at) > span))
+        .filter(|request| matches!(request.ending, Ending::Problem(_)))
+        .filter(|request| {
+            request
+                .ended_at
+                .is_none_or(|at| at.since(request.sent_at) > span)
+        })
         .count();
-    none(late, "refusals came late")
+    ensure_none(late, "problem responses came late")
 }
 
 fn check_retry_after(emulator: &Emulator) -> Result<(), String> {
@@ -333,14 +351,14 @@
         .callers()
         .requests
         .values()
-        .filter(|held| match &held.ending {
+        .filter(|request| match &request.ending {
             Ending::Problem(problem) => {
                 problem.retry_after_ms.is_none() && problem.outcome != Outcome::Ran
             }
             _ => false,
         })
         .count();
-    none(without, "problems name no time to come back")
+    ensure_none(without, "problems name no time for a retry")
 }
 
 fn check_orders(emulator: &Emulator) -> Result<(), String> {
@@ -349,12 +367,15 @@
         .iter()
         .filter_map(|process| process.order_target.as_ref());
     let epoch_decreases = targets.map(|target| target.epoch_decreases()).sum();
-    none(epoch_decreases, "orders followed one of a later epoch")
+    ensure_none(
+        epoch_decreases,
+        "orders were followed after one of a later epoch",
+    )
 }
 
 fn check_bound(emulator: &Emulator) -> Result<(), String> {
     let ratio = emulator.observer().max_load_bound_ratio;
-    hold(ratio <= BOUND_TOLERANCE, || {
+    ensure(ratio <= MAX_LOAD_BOUND_RATIO, || {
         format!("the busiest engine was at {ratio:.3} of the bound")
     })
 }
--- a/crates/stacktack-lab/src/scenario/command.rs
+++ b/crates/stacktack-lab/src/scenario/command.rs
@@ -1,4 +1,4 @@
-//! The lab's commands about scenarios.
+//! Commands of the lab that run and explore scenarios.
 
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -10,15 +10,18 @@
 use super::run::run;
 use crate::error::LabError;
 
-/// Runs a scenario file, or all of a folder, and prints what held.
-pub fn run_path(path: &str, broken: Option<Protection>) -> Result<(), LabError> {
-    let protections = broken.map_or_else(Protections::default, Protections::without);
+/// Runs a scenario file, or all `.txt` files of a folder in the order of their
+/// names, and prints for each whether its expectations held.
+pub fn run_path(path: &str, disabled: Option<Protection>) -> Result<(), LabError> {
+    let protections = disabled.map_or_else(Protections::default, Protections::without);
     let mut failed = 0;
-    for file in files_of(Path::new(path))? {
+    for file in scenario_files(Path::new(path))? {
         let text = std::fs::read_to_string(&file)?;
-        let request = |error: String| LabError::Request(format!("{}: {error}", file.display()));
-        let scenario = parse(&text).map_err(|error| request(error.to_string()))?;
-        let report = run(&scenario, protections).map_err(|error| request(error.to_string()))?;
+        let request_error =
+            |error: String| LabError::Request(format!("{}: {error}", file.display()));
+        let scenario = parse(&text).map_err(|error| request_error(error.to_string()))?;
+        let report =
+            run(&scenario, protections).map_err(|error| request_error(error.to_string()))?;
         let verdict = if report.failures.is_empty() {
             "holds"
         } else {
@@ -36,7 +39,7 @@
     Err(LabError::PromisesBroken(failed))
 }
 
-fn files_of(path: &Path) -> Result<Vec<PathBuf>, LabError> {
+fn scenario_files(path: &Path) -> Result<Vec<PathBuf>, LabError> {
     if path.is_file() {
         return Ok(vec![path.to_path_buf()]);
     }
@@ -51,9 +54,9 @@
     Ok(files)
 }
 
-/// Explores schedules and prints those that fail.
-pub fn explore(seeds: std::ops::Range<u64>, broken: Option<Protection>) -> Result<(), LabError> {
-    let protections = broken.map_or_else(Protections::default, Protections::without);
+/// Runs the random fault schedules of the seeds and prints those that fail.
+pub fn explore(seeds: std::ops::Range<u64>, disabled: Option<Protection>) -> Result<(), LabError> {
+    let protections = disabled.map_or_else(Protections::default, Protections::without);
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
     let begin = Instant::now();
     let count = seeds.end - seeds.start;
--- a/crates/stacktack-lab/src/scenario/explore.rs
+++ b/crates/stacktack-lab/src/scenario/explore.rs
@@ -1,8 +1,9 @@
-//! Fault schedules drawn at random, checked against all promises.
+//! Random fault schedules, checked against the expectations that hold under
+//! every fault.
 //!
-//! A schedule is the text of a scenario, so that one that fails can be kept as
-//! a file. It is shrunk first: acts are left out one by one while it still
-//! fails.
+//! A schedule is the text of a scenario, so that a failing one can be kept as a
+//! file. A failing schedule is shrunk first: each act is left out if the
+//! schedule still fails without it.
 
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -13,7 +14,7 @@
 use super::run::{run, Report, RunError};
 use thiserror::Error;
 
-/// Processes of the fleets that are explored.
+/// All processes of the fleet of a schedule.
 const PROCESSES: &[&str] = &[
     "router-1",
     "router-2",
@@ -24,14 +25,14 @@
     "service-2",
 ];
 
-/// Those of them that have back ends.
+/// Agents, which have a back end, of the fleet of a schedule.
 const AGENTS: &[&str] = &["engine-1", "engine-2", "engine-3", "service-1", "service-2"];
 
-/// Routers of the fleets that are explored.
+/// Routers of the fleet of a schedule.
 const ROUTERS: &[&str] = &["router-1", "router-2"];
 
-/// Fleet, load and promises of every schedule.
-const FRAME: &str = "fleet routers=2 engines=3 services=2 tenants=2
+/// Fleet, load and expectations of every schedule.
+const SCHEDULE_HEAD: &str = "fleet routers=2 engines=3 services=2 tenants=2
 run 12s
 load chats rate=12 tokens=60 chats=20
 load calls rate=15
@@ -44,19 +45,20 @@
 expect retry-after
 ";
 
-/// Acts of one schedule, each with what ends it.
-const ACTS: std::ops::Range<usize> = 4..10;
+/// Number of faults and acts of operators in one schedule; the act that ends a
+/// fault is not counted.
+const ACT_COUNT: std::ops::Range<usize> = 4..10;
 
-/// Time in milliseconds at which acts begin.
-const BEGIN_MS: std::ops::Range<u64> = 500..10_000;
+/// Time at which an act begins, in milliseconds.
+const ACT_BEGIN_MS: std::ops::Range<u64> = 500..10_000;
 
-/// Time in milliseconds that acts last.
-const LAST_MS: std::ops::Range<u64> = 100..4_000;
+/// Time from the beginning of an act to its end, in milliseconds.
+const ACT_DURATION_MS: std::ops::Range<u64> = 100..4_000;
 
 /// A schedule could not be run.
 #[derive(Debug, Error)]
 pub enum ExploreError {
-    /// The drawn text is no scenario.
+    /// The generated text is not a valid scenario.
     #[error(transparent)]
     Text(#[from] ScenarioError),
     /// The scenario could not be run.
@@ -64,32 +66,33 @@
     Run(#[from] RunError),
 }
 
-/// A schedule that fails, as short as leaving out acts makes it.
+/// A failing schedule, shrunk by leaving out acts.
 #[derive(Debug)]
 pub struct Finding {
     /// Text of the scenario.
     pub text: String,
-    /// Expectations that did not hold.
+    /// Expectations that did not hold, each with what was observed.
     pub failures: Vec<String>,
 }
 
-/// Draws the acts of a schedule: each line one fault and its end.
-pub fn draw_acts(seed: u64) -> Vec<String> {
+/// Generates the acts of a schedule; each entry is a fault with its end, or an
+/// act without an end.
+pub fn random_acts(seed: u64) -> Vec<String> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let count = random.random_range(ACTS);
-    (0..count).map(|_| draw_act(&mut random)).collect()
+    let count = random.random_range(ACT_COUNT);
+    (0..count).map(|_| random_act(&mut random)).collect()
 }
 
-fn draw_name<'a>(names: &[&'a str], random: &mut ChaCha8Rng) -> &'a str {
+fn random_name<'a>(names: &[&'a str], random: &mut ChaCha8Rng) -> &'a str {
     names.choose(random).copied().unwrap_or_default()
 }
 
-fn draw_act(random: &mut ChaCha8Rng) -> String {
-    let begin = random.random_range(BEGIN_MS);
-    let end = begin + random.random_range(LAST_MS);
-    let any = draw_name(PROCESSES, random);
-    let agent = draw_name(AGENTS, random);
-    let router = draw_name(ROUTERS, random);
+fn random_act(random: &mut ChaCha8Rng) -> String {
+    let begin = random.random_range(ACT_BEGIN_MS);
+    let end = begin + random.random_range(ACT_DURATION_MS);
+    let any = random_name(PROCESSES, random);
+    let agent = random_name(AGENTS, random);
+    let router = random_name(ROUTERS, random);
     let pair = |first: &str, last: &str, left: &str, right: &str| {
         format!("at {begin}ms {first} {left} {right}\nat {end}ms {last} {left} {right}")
     };
@@ -108,7 +111,7 @@
         10 => pair("cut", "heal", any, "gossip"),
         11 => {
             let modes = ["down", "lose-replies", "slow 800ms"];
-            let mode = draw_name(&modes, random);
+            let mode = random_name(&modes, random);
             format!("at {begin}ms table {mode}\nat {end}ms table up")
         }
         _ => {
@@ -118,41 +121,43 @@
     }
 }
 
-fn text_of(seed: u64, acts: &[String]) -> String {
-    format!("seed {seed}\n{FRAME}{}\n", acts.join("\n"))
+fn schedule_text(seed: u64, acts: &[String]) -> String {
+    format!("seed {seed}\n{SCHEDULE_HEAD}{}\n", acts.join("\n"))
 }
 
 fn run_acts(seed: u64, acts: &[String], protections: Protections) -> Result<Report, ExploreError> {
-    let scenario = parse(&text_of(seed, acts))?;
+    let scenario = parse(&schedule_text(seed, acts))?;
     Ok(run(&scenario, protections)?)
 }
 
-/// Runs the schedule of a seed; a finding when a promise did not hold.
+/// Runs the schedule of a seed. Returns the shrunk schedule if an expectation
+/// did not hold.
 pub fn explore(seed: u64, protections: Protections) -> Result<Option<Finding>, ExploreError> {
-    let mut acts = draw_acts(seed);
+    let mut acts = random_acts(seed);
     let mut failures = run_acts(seed, &acts, protections)?.failures;
     if failures.is_empty() {
         return Ok(None);
     }
     let mut position = 0;
     while position < acts.len() {
-        let mut fewer = acts.clone();
-        fewer.remove(position);
-        let report = run_acts(seed, &fewer, protections)?;
+        let mut remaining = acts.clone();
+        remaining.remove(position);
+        let report = run_acts(seed, &remaining, protections)?;
         if report.failures.is_empty() {
             position += 1;
         } else {
-            acts = fewer;
+            acts = remaining;
             failures = report.failures;
         }
     }
     Ok(Some(Finding {
-        text: text_of(seed, &acts),
+        text: schedule_text(seed, &acts),
         failures,
     }))
 }
 
-/// Explores seeds on several threads; findings in the order of their seeds.
+/// Runs the schedules of the seeds on several threads. The findings are in the
+/// order of their seeds.
 pub fn explore_all(
     seeds: std::ops::Range<u64>,
     threads: u64,
--- a/crates/stacktack-lab/src/scenario/parse.rs
+++ b/crates/stacktack-lab/src/scenario/parse.rs
@@ -1,4 +1,4 @@
-//! Reading scenario files.
+//! Parser of the scenario language.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -13,42 +13,42 @@
 use crate::emulator::callers::{KeyUse, LoadPlan};
 use crate::fleet::FleetPlan;
 
-/// A scenario file has a fault.
+/// A scenario file is invalid.
 #[derive(Debug, Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {reason}")]
 pub struct ScenarioError {
     /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong.
-    pub what: String,
+    /// What is wrong with the line.
+    pub reason: String,
 }
 
-/// What happens, by names of processes.
+/// A fault or an act of operators, with names of processes or zones.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// A verb about one process.
+    /// A verb that takes one name.
     One {
-        /// The verb.
+        /// What happens.
         verb: Verb,
-        /// The process.
+        /// A process, a zone or `all`.
         name: String,
     },
-    /// A verb about two processes.
+    /// A verb that takes two names.
     Two {
-        /// The verb.
+        /// What happens.
         verb: PairVerb,
-        /// One process, or `platform`.
+        /// A process, a zone or `all`.
         left: String,
-        /// The other.
+        /// A process, a zone, `all`, `platform` or `gossip`.
         right: String,
     },
-    /// The table behaves so.
+    /// The store gets this fault, or `StoreFault::Up` to end one.
     Table(StoreFault),
-    /// Operators set the load cap at the same time.
+    /// Several operators set the load cap at the same time.
     Apply {
-        /// Who.
+        /// Names of the operators.
         authors: Vec<String>,
-        /// The first one's cap.
+        /// Load cap that the first operator sets.
         load_cap: f64,
     },
 }
@@ -62,7 +62,7 @@
         }
 
         impl $name {
-            fn read(text: &str) -> Option<Self> {
+            fn parse(text: &str) -> Option<Self> {
                 match text {
                     $($text => Some($name::$variant),)*
                     _ => None,
@@ -75,23 +75,23 @@
 verbs! {
     /// What happens to one process.
     Verb {
-        /// It ends at once.
+        /// It crashes.
         Kill => "kill",
-        /// It starts again.
+        /// It restarts.
         Restart => "restart",
         /// It is paused.
         Freeze => "freeze",
-        /// It goes on.
+        /// It resumes.
         Thaw => "thaw",
-        /// It is asked to stop.
+        /// It is asked to stop gracefully.
         Stop => "stop",
-        /// Its back end ends at once.
+        /// Its back end crashes.
         KillBackEnd => "kill-backend",
-        /// Its back end starts again.
+        /// Its back end restarts.
         RestartBackEnd => "restart-backend",
         /// An operator drains it.
         Drain => "drain",
-        /// An operator lets it work again.
+        /// An operator ends its draining.
         Undrain => "undrain",
         /// The platform is about to take its machine away.
         Leave => "leave",
@@ -103,35 +103,35 @@
     PairVerb {
         /// They cannot reach each other.
         Cut => "cut",
-        /// They can again.
+        /// They can reach each other again.
         Heal => "heal",
-        /// Their connections break.
+        /// Their connections are reset.
         Reset => "reset",
     }
 }
 
-/// A scenario.
+/// A parsed scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Fleet.
+    /// Size and limits of the fleet.
     pub fleet: FleetPlan,
-    /// Seed.
+    /// Seed of all random decisions.
     pub seed: u64,
-    /// Time that the scenario runs, from the end of settling.
+    /// Length of the scenario from the end of settling; load stops at its end.
     pub length: Duration,
-    /// Load, timed from the end of settling.
+    /// Loads, timed from the end of settling.
     pub loads: Vec<LoadPlan>,
-    /// What happens when.
+    /// Faults and acts of operators, timed from the end of settling.
     pub acts: Vec<(Duration, Act)>,
     /// Whether agents compete for the controller lease and send orders.
     pub orders: bool,
-    /// What has to hold.
+    /// Expectations that must hold at the end.
     pub expectations: Vec<Expectation>,
-    /// Protections without which it has to fail.
+    /// Protections without which the scenario must fail.
     pub breaks: Vec<Protection>,
 }
 
-/// Reads a scenario.
+/// Parses the text of a scenario.
 pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
     let mut scenario = Scenario {
         fleet: FleetPlan::default(),
@@ -149,121 +149,122 @@
             continue;
         }
         let words: Vec<&str> = content.split_whitespace().collect();
-        read_line(&mut scenario, &words).map_err(|what| ScenarioError {
+        parse_line(&mut scenario, &words).map_err(|reason| ScenarioError {
             line: number + 1,
-            what,
+            reason,
         })?;
     }
     Ok(scenario)
 }
 
-fn read_line(scenario: &mut Scenario, words: &[&str]) -> Result<(), String> {
+fn parse_line(scenario: &mut Scenario, words: &[&str]) -> Result<(), String> {
     match words {
-        ["fleet", settings @ ..] => read_fleet(&mut scenario.fleet, settings),
+        ["fleet", settings @ ..] => parse_fleet(&mut scenario.fleet, settings),
         ["orders"] => {
             scenario.orders = true;
             Ok(())
         }
         ["seed", number] => {
-            scenario.seed = read_number(number)?;
+            scenario.seed = parse_number(number)?;
             Ok(())
         }
         ["run", length] => {
-            scenario.length = read_duration(length)?;
+            scenario.length = parse_duration(length)?;
             Ok(())
         }
         ["load", kind, settings @ ..] => {
-            scenario.loads.push(read_load(kind, settings)?);
+            scenario.loads.push(parse_load(kind, settings)?);
             Ok(())
         }
-        ["flap", name, settings @ ..] => read_flap(scenario, name, settings),
+        ["flap", name, settings @ ..] => parse_flap(scenario, name, settings),
         ["at", time, act @ ..] => {
-            let at = read_duration(time)?;
-            scenario.acts.push((at, read_act(act)?));
+            let at = parse_duration(time)?;
+            scenario.acts.push((at, parse_act(act)?));
             Ok(())
         }
         ["expect", expectation @ ..] => {
-            scenario.expectations.push(Expectation::read(expectation)?);
+            scenario.expectations.push(Expectation::parse(expectation)?);
             Ok(())
         }
-        ["breaks", rule] => {
-            let rule = rule.parse().map_err(|error| format!("{error}"))?;
-            scenario.breaks.push(rule);
+        ["breaks", protection] => {
+            let protection = protection.parse().map_err(|error| format!("{error}"))?;
+            scenario.breaks.push(protection);
             Ok(())
         }
-        _ => Err(format!("{} is no statement", words.join(" "))),
+        _ => Err(format!("{} is not a statement", words.join(" "))),
     }
 }
 
-/// Reads a number.
-pub fn read_number<T: FromStr>(text: &str) -> Result<T, String> {
-    text.parse().map_err(|_| format!("{text} is no number"))
+/// Parses a number.
+pub fn parse_number<T: FromStr>(text: &str) -> Result<T, String> {
+    text.parse().map_err(|_| format!("{text} is not a number"))
 }
 
-/// Reads a span such as `300ms` or `2s`.
-pub fn read_duration(text: &str) -> Result<Duration, String> {
+/// Parses a duration such as `300ms` or `2s`.
+pub fn parse_duration(text: &str) -> Result<Duration, String> {
     if let Some(number) = text.strip_suffix("ms") {
-        return Ok(Duration::from_millis(read_number(number)?));
+        return Ok(Duration::from_millis(parse_number(number)?));
     }
     if let Some(number) = text.strip_suffix('s') {
-        return Ok(Duration::from_secs_f64(read_number(number)?));
+        return Ok(Duration::from_secs_f64(parse_number(number)?));
     }
-    Err(format!("{text} is no time; allowed is 300ms or 2s"))
+    Err(format!("{text} is not a time; write it as 300ms or 2s"))
 }
 
-fn read_settings<'a>(settings: &[&'a str]) -> Result<HashMap<&'a str, &'a str>, String> {
+fn parse_settings<'a>(settings: &[&'a str]) -> Result<HashMap<&'a str, &'a str>, String> {
     settings
         .iter()
         .map(|setting| {
             setting
                 .split_once('=')
-                .ok_or_else(|| format!("{setting} is no name=value"))
+                .ok_or_else(|| format!("{setting} is not of the form name=value"))
         })
         .collect()
 }
 
-fn read_fleet(fleet: &mut FleetPlan, settings: &[&str]) -> Result<(), String> {
-    for (name, value) in read_settings(settings)? {
+fn parse_fleet(fleet: &mut FleetPlan, settings: &[&str]) -> Result<(), String> {
+    for (name, value) in parse_settings(settings)? {
         match name {
-            "routers" => fleet.routers = read_number(value)?,
-            "engines" => fleet.engines = read_number(value)?,
-            "services" => fleet.services = read_number(value)?,
-            "tenants" => fleet.tenants = read_number(value)?,
-            "concurrency" => fleet.concurrency = read_number(value)?,
-            "cap" => fleet.load_cap = read_number(value)?,
-            _ => return Err(format!("{name} is no setting of a fleet")),
+            "routers" => fleet.routers = parse_number(value)?,
+            "engines" => fleet.engines = parse_number(value)?,
+            "services" => fleet.services = parse_number(value)?,
+            "tenants" => fleet.tenants = parse_number(value)?,
+            "concurrency" => fleet.concurrency = parse_number(value)?,
+            "cap" => fleet.load_cap = parse_number(value)?,
+            _ => return Err(format!("{name} is not a setting of a fleet")),
         }
     }
     Ok(())
 }
 
-/// A back end that ends and starts again, over and over.
-fn read_flap(scenario: &mut Scenario, name: &str, settings: &[&str]) -> Result<(), String> {
-    let settings = read_settings(settings)?;
-    let read = |key: &str| match settings.get(key) {
-        Some(text) => read_duration(text),
+/// Adds the acts of a flapping back end, which crashes and restarts once in
+/// each period.
+fn parse_flap(scenario: &mut Scenario, name: &str, settings: &[&str]) -> Result<(), String> {
+    let settings = parse_settings(settings)?;
+    let parse_time = |key: &str| match settings.get(key) {
+        Some(text) => parse_duration(text),
         None => Err(format!("flap needs {key}=TIME")),
     };
-    let (from, to, every) = (read("from")?, read("to")?, read("every")?);
+    let (from, to, period) = (parse_time("from")?, parse_time("to")?, parse_time("every")?);
     let mut at = from;
     while at < to {
         for (verb, delay) in [
-            (Verb::KillBackEnd, every / 2),
-            (Verb::RestartBackEnd, every),
+            (Verb::KillBackEnd, period / 2),
+            (Verb::RestartBackEnd, period),
         ] {
             let name = name.to_string();
             scenario.acts.push((at + delay, Act::One { verb, name }));
         }
-        at += every;
+        at += period;
     }
     Ok(())
 }
 
-fn read_load(kind: &str, settings: &[&str]) -> Result<LoadPlan, String> {
+fn parse_load(kind: &str, settings: &[&str]) -> Result<LoadPlan, String> {
     let service = match kind {
         "chats" => false,
         "calls" => true,
-        _ => return Err(format!("{kind} is no load; allowed are chats, calls")),
+        _ => return Err(format!("{kind} is not a load; allowed are chats, calls")),
     };
     let mut load = LoadPlan {
         service,
@@ -277,61 +278,65 @@
         from: Time::default(),
         to: Time(u64::MAX),
     };
-    for (name, value) in read_settings(settings)? {
+    for (name, value) in parse_settings(settings)? {
         match name {
-            "rate" => load.rate = read_number(value)?,
-            "chats" => load.chats = read_number(value)?,
-            "tokens" => load.tokens = read_number(value)?,
-            "words" => load.words = read_number(value)?,
-            "streams" => load.streams = read_number(value)?,
-            "deadline" => load.deadline = Some(read_duration(value)?),
-            "from" => load.from = Time::default() + read_duration(value)?,
-            "to" => load.to = Time::default() + read_duration(value)?,
+            "rate" => load.rate = parse_number(value)?,
+            "chats" => load.chats = parse_number(value)?,
+            "tokens" => load.tokens = parse_number(value)?,
+            "words" => load.words = parse_number(value)?,
+            "streams" => load.streams = parse_number(value)?,
+            "deadline" => load.deadline = Some(parse_duration(value)?),
+            "from" => load.from = Time::default() + parse_duration(value)?,
+            "to" => load.to = Time::default() + parse_duration(value)?,
             "keys" => {
                 load.keys = match value {
                     "none" => KeyUse::None,
                     "unique" => KeyUse::Unique,
                     "twice" => KeyUse::Twice,
-                    _ => return Err(format!("{value} is no use of keys")),
+                    _ => {
+                        return Err(format!(
+                            "{value} is not a use of keys; allowed are none, unique, twice"
+                        ))
+                    }
                 }
             }
-            _ => return Err(format!("{name} is no setting of a load")),
+            _ => return Err(format!("{name} is not a setting of a load")),
         }
     }
     Ok(load)
 }
 
-fn read_act(words: &[&str]) -> Result<Act, String> {
+fn parse_act(words: &[&str]) -> Result<Act, String> {
     match words {
         ["table", "down"] => Ok(Act::Table(StoreFault::Down)),
         ["table", "up"] => Ok(Act::Table(StoreFault::Up)),
         ["table", "lose-replies"] => Ok(Act::Table(StoreFault::LoseReplies)),
         ["table", "slow", delay] => {
-            let delay_ms = read_duration(delay)?.as_millis() as u64;
+            let delay_ms = parse_duration(delay)?.as_millis() as u64;
             Ok(Act::Table(StoreFault::Slow { delay_ms }))
         }
         ["apply", cap, authors @ ..] if !authors.is_empty() => {
             let cap = cap.strip_prefix("cap=").ok_or("apply needs cap=NUMBER")?;
             Ok(Act::Apply {
                 authors: authors.iter().map(ToString::to_string).collect(),
-                load_cap: read_number(cap)?,
+                load_cap: parse_number(cap)?,
             })
         }
-        [verb, name] => match Verb::read(verb) {
+        [verb, name] => match Verb::parse(verb) {
             Some(verb) => Ok(Act::One {
                 verb,
                 name: name.to_string(),
             }),
-            None => Err(format!("{verb} is no verb for one process")),
+            None => Err(format!("{verb} is not a verb for one process")),
         },
-        [verb, left, right] => match PairVerb::read(verb) {
+        [verb, left, right] => match PairVerb::parse(verb) {
             Some(verb) => Ok(Act::Two {
                 verb,
                 left: left.to_string(),
                 right: right.to_string(),
             }),
-            None => Err(format!("{verb} is no verb for two processes")),
+            None => Err(format!("{verb} is not a verb for two processes")),
         },
-        _ => Err(format!("{} is no act", words.join(" "))),
+        _ => Err(format!("{} is not an act", words.join(" "))),
     }
 }
--- a/crates/stacktack-lab/src/scenario/run.rs
+++ b/crates/stacktack-lab/src/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Running a scenario on virtual time.
+//! Runs scenarios on virtual time.
 
 use std::time::Duration;
 
@@ -15,30 +15,30 @@
 use crate::emulator::process::ProcessId;
 use crate::emulator::{Emulator, EmulatorPlan, SETTLING_TIME};
 
-/// Time after a scenario's end for what is under way to end.
-const AFTERWARDS: Duration = Duration::from_secs(20);
+/// Time after the end of a scenario for requests in flight to end.
+const COMPLETION_TIME: Duration = Duration::from_secs(20);
 
 /// A scenario could not be run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A state chart is not usable.
+    /// A state chart is invalid.
     #[error(transparent)]
     Chart(#[from] ChartError),
-    /// No process has this name.
-    #[error("{0} is no process of the fleet")]
+    /// No process or zone has this name.
+    #[error("{0} is not a process of the fleet")]
     UnknownProcess(String),
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Expectations that did not hold, each with what was seen.
+    /// Expectations that did not hold, each with what was observed.
     pub failures: Vec<String>,
-    /// Requests and how they ended.
+    /// Number of requests by how they ended, and number of table writes.
     pub summary: String,
 }
 
-/// Runs a scenario with some protections in force and checks what it expects.
+/// Runs a scenario with these protections and checks its expectations.
 pub fn run(scenario: &Scenario, protections: Protections) -> Result<Report, RunError> {
     let emulator = run_emulator(scenario, protections)?;
     let failures = scenario
@@ -59,7 +59,7 @@
     })
 }
 
-/// Runs a scenario with some protections in force.
+/// Runs a scenario with these protections and returns the fleet at its end.
 pub fn run_emulator(scenario: &Scenario, protections: Protections) -> Result<Emulator, RunError> {
     let mut emulator = Emulator::new(EmulatorPlan {
         fleet: scenario.fleet.clone(),
@@ -80,7 +80,7 @@
             emulator.add_fault(SETTLING_TIME + *at, fault);
         }
     }
-    emulator.run_until(Time::default() + SETTLING_TIME + scenario.length + AFTERWARDS)?;
+    emulator.run_until(Time::default() + SETTLING_TIME + scenario.length + COMPLETION_TIME)?;
     Ok(emulator)
 }
 
@@ -92,7 +92,7 @@
     found.ok_or_else(|| RunError::UnknownProcess(name.to_string()))
 }
 
-/// Processes that a name stands for: one process, all of a zone, or all.
+/// Processes that a name refers to: one process, all of a zone, or all.
 fn find_all(emulator: &Emulator, name: &str) -> Result<Vec<ProcessId>, RunError> {
     let processes = emulator.processes();
     let all = || 0..processes.len();
@@ -114,7 +114,7 @@
             let processes = find_all(emulator, name)?;
             Ok(processes
                 .into_iter()
-                .map(|id| one_fault(*verb, id))
+                .map(|id| process_fault(*verb, id))
                 .collect())
         }
         Act::Two { verb, left, right } => {
@@ -148,7 +148,7 @@
     }
 }
 
-fn one_fault(verb: Verb, id: ProcessId) -> Fault {
+fn process_fault(verb: Verb, id: ProcessId) -> Fault {
     match verb {
         Verb::Kill => Fault::Kill(id),
         Verb::Restart => Fault::Restart(id),
