--- a/crates/stacktack-core/src/direct/back_ends/back_end.rs
+++ b/crates/stacktack-core/src/direct/back_ends/back_end.rs
@@ -1,9 +1,11 @@
 //! State that a router keeps for each back end.
 //!
-//! The state comes from the directory (which back ends exist, which are leaving), from
-//! responses (failures, time to the first byte, silence) and from failed connection
-//! attempts. Outlier detection is passive: no health probes are sent. Bad health only lowers
-//! preference: if every candidate is degraded or ejected, the best of them is still used.
+//! The state comes from the directory (which back ends exist, which are leaving, which are cold),
+//! from responses (failures, time to the first byte, silence, loads), from failed connection
+//! attempts and from gossip (loads, suspect reports of peers). Outlier detection is passive: it
+//! sends no health probes. Bad health only lowers preference: if every candidate is degraded or
+//! ejected, the best of them is still used. Leaving and replaced back ends and those in drained
+//! zones get no requests, and cold ones only within their rate limit.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,10 +20,11 @@
 use crate::retry::exponential_delay;
 use crate::time::Time;
 
-/// Consecutive failed connections or silences after which a back end is ejected.
-const FAILURES_TO_EJECT: u32 = 2;
+/// Consecutive unreachable attempts, with no byte from the back end in between, after which a back
+/// end is ejected. Error responses and broken connections are not counted.
+const UNREACHABLE_ATTEMPTS_TO_EJECT: u32 = 2;
 
-/// Duration of the first ejection; it doubles with each further failure.
+/// Duration of the first ejection; it doubles with each further unreachable attempt.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
 
 /// Maximum duration of an ejection.
@@ -42,16 +45,16 @@
 /// Maximum age of a peer's suspect report that counts.
 const MAX_SUSPECT_REPORT_AGE: Duration = Duration::from_millis(1500);
 
-/// Peers that have to report a back end as suspect. One is not enough, because single
-/// failures are scattered over many back ends.
+/// Peers that have to report a back end as suspect. One is not enough: a peer may suspect a back
+/// end after a single failure, and single failures are scattered over many back ends.
 const MIN_REPORTING_PEERS: usize = 2;
 
 /// Maximum age of a successful response to this router that outweighs suspect reports.
 const MAX_OVERRIDING_SUCCESS_AGE: Duration = Duration::from_millis(500);
 
-/// Time without requests after which a slow back end is no longer degraded, so that it gets
-/// requests again.
-const SLOW_STATE_TTL: Duration = Duration::from_secs(3);
+/// Time since this router's last request to a back end with slow responses after which the back
+/// end is no longer degraded, so that it gets requests again.
+const SLOW_RESPONSES_TTL: Duration = Duration::from_secs(3);
 
 /// A back end and the state that this router keeps for it.
 #[derive(Clone, Debug)]
@@ -64,19 +67,24 @@
     pub load: BackEndLoad,
     /// Limits the requests sent to the back end while it is cold.
     slow_start: Option<SlowStartLimiter>,
-    /// Whether another instance has answered at its address; reset by a newer directory entry.
+    /// Whether another instance has answered at its address; reset by a directory entry of a newer
+    /// revision.
     replaced: bool,
-    consecutive_failures: u32,
+    consecutive_unreachable_attempts: u32,
     ejected_until: Option<Time>,
     failure_share: f64,
-    /// Median failure share of its pool at the last selection from the pool.
+    /// Median failure share of the candidates of the last request that had this back end as a
+    /// candidate.
     pub(crate) pool_failure_share: f64,
     outlier_detector: OutlierDetector,
-    /// Peers that recently reported it as suspect, and when.
+    /// Peers that reported it as suspect, and when.
     suspect_reports: Vec<(SocketAddr, Time)>,
     last_success: Option<Time>,
     first_byte_seconds: Option<f64>,
-    silent_since: Time,
+    /// Time from which silence counts: that of the last byte from the back end, of a send while no
+    /// request was in flight, or of the end of a suspension, whichever is latest.
+    silence_timer_start: Time,
+    /// When this router last sent a request to it.
     last_used: Time,
 }
 
@@ -90,7 +98,7 @@
             entry,
             id_hash,
             load: BackEndLoad::default(),
-            consecutive_failures: 0,
+            consecutive_unreachable_attempts: 0,
             ejected_until: None,
             failure_share: 0.0,
             pool_failure_share: 0.0,
@@ -98,13 +106,14 @@
             suspect_reports: Vec::new(),
             last_success: None,
             first_byte_seconds: None,
-            silent_since: now,
+            silence_timer_start: now,
             last_used: now,
         }
     }
 
-    /// Replaces the directory entry. Only an entry of a newer revision restarts the slow start:
-    /// the same entry received again does not tell how long the back end is cold from now.
+    /// Replaces the directory entry. Only an entry of a newer revision restarts the slow start.
+    /// One of the same revision describes the same cold time, whose end is already known here, and
+    /// its `cold_for` counts from when it was sent, not from now.
     pub(crate) fn update_entry(&mut self, entry: BackEndEntry, now: Time) {
         if entry.revision > self.entry.revision {
             self.slow_start = slow_start_limiter(&entry, now);
@@ -131,7 +140,7 @@
     }
 
     /// Sets the requests per second that this router may send while the back end is cold;
-    /// `None` if its pool has no slow start. Returns whether slow start has ended.
+    /// `None` if its pool has no slow start. Returns whether this ends the rate limit.
     pub(crate) fn update_slow_start(&mut self, rate: Option<f64>, now: Time) -> bool {
         let Some(limiter) = &mut self.slow_start else {
             return false;
@@ -159,8 +168,9 @@
         self.slow_start.is_some_and(|limiter| !limiter.is_over(now))
     }
 
-    /// Whether the back end may get one more request now: no other instance has replaced it,
-    /// and its slow start is over or allows one more request.
+    /// Whether no other instance has replaced the back end, and its slow start is over or allows
+    /// one more request now. Whether it is leaving, its zone's drain and its health are not
+    /// considered.
     pub fn may_get_requests(&self, now: Time) -> bool {
         !self.replaced
             && self
@@ -171,7 +181,7 @@
     /// Records that a request was sent to the back end.
     pub fn on_send(&mut self, now: Time) {
         if self.load.in_flight == 0 {
-            self.silent_since = now;
+            self.silence_timer_start = now;
         }
         self.last_used = now;
         self.load.on_send(now);
@@ -182,8 +192,8 @@
 
     /// Records that bytes arrived from the back end, which ends its ejection.
     pub fn on_bytes(&mut self, now: Time) {
-        self.silent_since = now;
-        self.consecutive_failures = 0;
+        self.silence_timer_start = now;
+        self.consecutive_unreachable_attempts = 0;
         self.ejected_until = None;
     }
 
@@ -195,8 +205,8 @@
     }
 
     /// Records that a response began successfully, or that an attempt ended with a failure of
-    /// the back end. Returns whether the back end is suspect if that has changed, otherwise
-    /// `None`.
+    /// the back end. Returns `Some(true)` if this makes the back end suspect, `Some(false)` if it
+    /// clears a suspect back end, and `None` if nothing changes.
     pub fn on_outcome(&mut self, failed: bool, now: Time) -> Option<bool> {
         let value = f64::from(u8::from(failed));
         self.failure_share += FAILURE_SHARE_WEIGHT * (value - self.failure_share);
@@ -210,13 +220,13 @@
         (after != before).then_some(after)
     }
 
-    /// Whether this router suspects the back end because of its failures.
+    /// Whether this router suspects the back end because of its recent outcomes.
     pub fn is_suspect(&self) -> bool {
         self.outlier_detector.is_suspect()
     }
 
-    /// Records that a peer reports the back end as suspect. Returns whether this report makes
-    /// the number of reporting peers sufficient.
+    /// Records that a peer reports the back end as suspect. Returns whether this report makes the
+    /// number of reporting peers sufficient while no recent success outweighs their reports.
     pub fn on_suspect_report(&mut self, peer: SocketAddr, now: Time) -> bool {
         let before = self.is_reported_suspect(now);
         self.suspect_reports
@@ -239,37 +249,39 @@
         reported && !succeeded
     }
 
-    /// Records that another instance answered at the back end's address: this instance is gone
-    /// for good, whatever the directory still lists, and gets no more requests. A lower
-    /// preference alone is not enough: when all 42 back ends of a pool had restarted, requests
-    /// went from one to the next, and 6,843 retries arrived in 10 s where 2,551 were allowed.
+    /// Records that another instance answered at the back end's address: this instance is gone for
+    /// good although the directory may still list it. The back end gets no more requests until the
+    /// directory has an entry of a newer revision. A lower preference alone is not enough: when
+    /// all 42 back ends of a pool had restarted, requests went from one to the next, and 6,843
+    /// retries arrived in 10 s where 2,551 were allowed.
     pub fn on_replaced(&mut self) {
         self.replaced = true;
     }
 
-    /// Records that a connection failed or that the back end fell silent. Returns whether the
-    /// back end is ejected now.
+    /// Records an unreachable attempt: the connection failed, or the request timed out. That is
+    /// not the silence of [`BackEnd::is_silent`], for which no request has to time out. Returns
+    /// whether the back end is ejected now.
     pub fn on_unreachable(&mut self, now: Time) -> bool {
-        self.consecutive_failures += 1;
-        if self.consecutive_failures < FAILURES_TO_EJECT {
+        self.consecutive_unreachable_attempts += 1;
+        if self.consecutive_unreachable_attempts < UNREACHABLE_ATTEMPTS_TO_EJECT {
             return false;
         }
-        let doublings = self.consecutive_failures - FAILURES_TO_EJECT;
+        let doublings = self.consecutive_unreachable_attempts - UNREACHABLE_ATTEMPTS_TO_EJECT;
         self.ejected_until = Some(now + exponential_delay(MIN_EJECTION, doublings, MAX_EJECTION));
         true
     }
 
     /// Whether requests are in flight and no byte arrived for longer than the silence timeout.
     pub fn is_silent(&self, now: Time) -> bool {
-        self.load.in_flight > 0 && now.since(self.silent_since) > SILENCE_TIMEOUT
+        self.load.in_flight > 0 && now.since(self.silence_timer_start) > SILENCE_TIMEOUT
     }
 
-    /// Lets silence count from `now` on.
+    /// Restarts the silence timer: time before `now` does not count as silence.
     pub(crate) fn restart_silence_timer(&mut self, now: Time) {
-        self.silent_since = now;
+        self.silence_timer_start = now;
     }
 
-    /// Statistics of the back end for the medians of its pool.
+    /// Statistics of the back end for the medians of the candidates.
     pub(crate) fn stats(&self, now: Time) -> MemberStats {
         MemberStats {
             failure_share: self.failure_share,
@@ -278,7 +290,7 @@
         }
     }
 
-    /// Health of the back end for a request, compared with its pool.
+    /// Health of the back end for a request, compared with the other candidates.
     pub(crate) fn health(&self, now: Time, pool: &PoolMedians, request: Retryability) -> Health {
         let ejected = self.ejected_until.is_some_and(|until| now < until);
         if ejected || self.is_silent(now) {
@@ -288,13 +300,14 @@
         if failing || (pool.trusts_suspect_reports && self.is_reported_suspect(now)) {
             return Health::Degraded;
         }
-        if self.is_slow(pool) && now.since(self.last_used) <= SLOW_STATE_TTL {
+        if self.is_slow(pool) && now.since(self.last_used) <= SLOW_RESPONSES_TTL {
             return Health::Degraded;
         }
         Health::Good
     }
 
-    /// Whether a suspect back end may get this request as a trial; trials run one at a time.
+    /// Whether a suspect back end may get this request as a trial: only while no other request of
+    /// this router is in flight there.
     fn allows_trial(&self, now: Time, request: Retryability) -> bool {
         self.load.in_flight == 0 && self.outlier_detector.allows_trial(now, request)
     }
--- a/crates/stacktack-core/src/direct/back_ends/directory.rs
+++ b/crates/stacktack-core/src/direct/back_ends/directory.rs
@@ -100,7 +100,7 @@
     pub revision: u64,
     /// Whether `present` is a snapshot of the whole directory.
     pub whole: bool,
-    /// Entries that are new or have changed.
+    /// Entries that are new or have changed; all entries in a snapshot.
     pub present: Vec<BackEndEntry>,
     /// Entries that were removed.
     pub gone: Vec<RemovedEntry>,
--- a/crates/stacktack-core/src/direct/back_ends/health.rs
+++ b/crates/stacktack-core/src/direct/back_ends/health.rs
@@ -12,7 +12,7 @@
     /// Clearly more failures or a clearly longer time to the first byte than the pool, or
     /// reported as suspect by peers.
     Degraded,
-    /// Silent, or connections to the back end fail.
+    /// Silent, or unreachable in the last attempts.
     Ejected,
 }
 
--- a/crates/stacktack-core/src/direct/back_ends/load.rs
+++ b/crates/stacktack-core/src/direct/back_ends/load.rs
@@ -47,10 +47,11 @@
 }
 
 impl BackEndLoad {
-    /// Estimated requests in flight from all routers: this router's own plus those of the
-    /// others. For the others, a small fleet uses the peers' counts, or a very recent report of
-    /// the back end if that is higher; a large fleet, where the peers' counts are seconds old,
-    /// uses the last report of the back end to any router.
+    /// Estimated requests in flight from all routers: this router's own plus those of the others.
+    /// For the others, a small fleet uses the peers' counts, or a very recent report of the back
+    /// end if that is higher; a large fleet, where the peers' counts are seconds old, uses the
+    /// last report of the back end to any router, or the peers' counts if there is no recent
+    /// report.
     pub fn estimate(&self, now: Time) -> f64 {
         let report = self.reported(now);
         let from_peers = match report {
--- a/crates/stacktack-core/src/direct/back_ends/mod.rs
+++ b/crates/stacktack-core/src/direct/back_ends/mod.rs
@@ -1,4 +1,4 @@
-//! All back ends that a router knows, and the recent changes of their directory.
+//! All back ends that a router knows, and the entries recently removed from their directory.
 //!
 //! - [`directory`]: entries, deltas and changes of the directory.
 //! - [`back_end`]: the state that the router keeps for one back end.
@@ -32,22 +32,24 @@
 use crate::direct::peers::peer_gossip::{LoadGossip, ShortId, MAX_REPORTED_LOADS_PER_DATAGRAM};
 use crate::time::Time;
 
-/// Number of removed entries kept to answer peers that ask for the changes since a revision.
+/// Maximum number of removed entries that are kept, to answer peers that ask for the changes since
+/// a revision and to keep stale entries from joining again.
 const MAX_REMEMBERED_REMOVALS: usize = 1024;
 
 /// All back ends that a router knows.
 #[derive(Clone, Debug, Default)]
 pub struct BackEnds {
     members: HashMap<String, BackEnd>,
-    /// Entries removed after [`BackEnds::removals_known_after`], in the order of their removal.
+    /// Latest removed entries, in the order in which this router removed them.
     removals: VecDeque<RemovedEntry>,
-    /// Revision after which every removal is remembered; `None` until the first snapshot of
-    /// the directory.
+    /// Revision after which every removal is remembered; `None` until the first snapshot of the
+    /// directory, or until more than [`MAX_REMEMBERED_REMOVALS`] entries were removed.
     removals_known_after: Option<u64>,
 }
 
 impl BackEnds {
-    /// Inserts or updates one directory entry, unless a newer one of the same id is known.
+    /// Inserts or updates one directory entry. An entry is ignored if a newer one of the same id
+    /// is known, or if a remembered removal of the id has the same or a newer revision.
     pub fn upsert(&mut self, entry: BackEndEntry, now: Time, change: &mut DirectoryChange) {
         match self.members.get_mut(&entry.id) {
             Some(known) if known.entry.revision > entry.revision => {}
@@ -64,12 +66,17 @@
                 }
                 known.update_entry(entry, now);
             }
-            None => self.join(entry, now, change),
+            None => self.insert_unless_removed(entry, now, change),
         }
     }
 
-    fn join(&mut self, entry: BackEndEntry, now: Time, change: &mut DirectoryChange) {
-        if self.was_removed_since(&entry) {
+    fn insert_unless_removed(
+        &mut self,
+        entry: BackEndEntry,
+        now: Time,
+        change: &mut DirectoryChange,
+    ) {
+        if self.has_later_removal(&entry) {
             return;
         }
         change.joined.push(entry.id.clone());
@@ -77,7 +84,8 @@
             .insert(entry.id.clone(), BackEnd::new(entry, now));
     }
 
-    fn was_removed_since(&self, entry: &BackEndEntry) -> bool {
+    /// Whether a remembered removal of the id has the revision of this entry or a newer one.
+    fn has_later_removal(&self, entry: &BackEndEntry) -> bool {
         self.removals
             .iter()
             .any(|removed| removed.id == entry.id && removed.revision >= entry.revision)
@@ -115,31 +123,32 @@
             .collect()
     }
 
-    /// Records that a directory snapshot of `revision` was applied.
+    /// Records that a directory snapshot of `revision` is being applied. The first
+    /// one sets the revision after which every removal is remembered; later ones leave it.
     pub fn on_snapshot(&mut self, revision: u64) {
         self.removals_known_after.get_or_insert(revision);
     }
 
-    /// Changes after revision `after` up to `revision`; a snapshot if not every removal since
-    /// `after` is remembered.
+    /// Changes after revision `after` up to `revision`; a snapshot, with all remembered removals,
+    /// if not every removal since `after` is remembered.
     pub fn changes_after(&self, after: u64, revision: u64, now: Time) -> DirectoryDelta {
-        let whole = self
+        let is_snapshot = self
             .removals_known_after
             .is_none_or(|known_after| after < known_after);
-        let changed = |at: u64| whole || at > after;
+        let is_included = |at: u64| is_snapshot || at > after;
         DirectoryDelta {
             revision,
-            whole,
+            whole: is_snapshot,
             present: self
                 .members
                 .values()
-                .filter(|member| changed(member.entry.revision))
+                .filter(|member| is_included(member.entry.revision))
                 .map(|member| member.entry_at(now))
                 .collect(),
             gone: self
                 .removals
                 .iter()
-                .filter(|removed| changed(removed.revision))
+                .filter(|removed| is_included(removed.revision))
                 .cloned()
                 .collect(),
         }
@@ -173,7 +182,8 @@
         self.members.values_mut()
     }
 
-    /// Number of back ends that accept new requests.
+    /// Number of back ends that are not leaving, whether or not they are cold, replaced, in a
+    /// drained zone or in bad health.
     pub fn count_accepting_work(&self) -> usize {
         self.members
             .values()
@@ -181,8 +191,9 @@
             .count()
     }
 
-    /// Sets the rate at which this router may send to each cold back end. Returns the ids of
-    /// the back ends whose slow start has ended.
+    /// Sets the rate at which this router may send to each cold back end. Returns the ids of the
+    /// back ends that are no longer rate-limited, because their slow start has ended or their pool
+    /// has none any more.
     pub fn update_slow_start(
         &mut self,
         slow_starts: &[SlowStart],
@@ -204,9 +215,10 @@
         warm
     }
 
-    /// Assumes that all back ends of a zone are cold, once the zone's drain has ended: they may
-    /// have become cold during the drain, and their directory entries show that only after its
-    /// end. Returns the number of back ends that are assumed to be cold.
+    /// Assumes that the back ends of a zone are cold, once the zone's drain has ended. This
+    /// affects only back ends of pools with a slow start. A back end may have become cold during
+    /// the drain, and its directory entry shows this only after the drain has ended. Returns the
+    /// number of back ends that are assumed to be cold.
     pub fn assume_cold(&mut self, zone: &str, slow_starts: &[SlowStart], now: Time) -> usize {
         let mut count = 0;
         for member in self.members.values_mut() {
@@ -221,9 +233,10 @@
         count
     }
 
-    /// Back ends that accept new requests and for which `matches` holds, each with its health
-    /// for a request.
-    pub fn pool(
+    /// Candidates of one request: the back ends that are not leaving and for which `matches`
+    /// holds, each with its health for the request, compared with the other candidates. Stores the
+    /// median failure share of the candidates in each of them, for the test of its next outcomes.
+    pub fn assess_candidates(
         &mut self,
         now: Time,
         request: Retryability,
@@ -234,7 +247,7 @@
             .values_mut()
             .filter(|member| !member.entry.leaving && matches(&member.entry))
             .collect();
-        assess_pool(members, now, request)
+        assess(members, now, request)
     }
 
     /// Recently reported loads of back ends, newest first, limited to one datagram.
@@ -252,14 +265,14 @@
         reported
     }
 
-    /// Requests of this router in flight at each back end, largest number first; without `all`
-    /// only at back ends without a recently reported load.
-    pub fn own_loads(&self, all: bool, now: Time) -> Vec<(ShortId, u16)> {
+    /// Requests of this router in flight at each back end, largest number first. Back ends that
+    /// recently reported their load are listed only if `include_reported` is true.
+    pub fn own_loads(&self, include_reported: bool, now: Time) -> Vec<(ShortId, u16)> {
         let mut loads: Vec<(ShortId, u16)> = self
             .members
             .values()
             .filter(|member| member.load.in_flight > 0)
-            .filter(|member| all || member.load.reported(now).is_none())
+            .filter(|member| include_reported || member.load.reported(now).is_none())
             .map(|member| {
                 let load = u16::try_from(member.load.in_flight).unwrap_or(u16::MAX);
                 (ShortId::of(member.id_hash), load)
@@ -294,8 +307,8 @@
     }
 
     /// Short ids of at most `limit` back ends that this router suspects, for gossip. Silent back
-    /// ends are not included: where many requests wait, silence comes and goes, and a fleet
-    /// that avoids a back end all at once overloads the next ones.
+    /// ends are not included: where many requests wait, a back end is silent only at times, and a
+    /// fleet that avoids it all at once overloads the back ends that get its requests instead.
     pub fn suspects(&self, limit: usize) -> Vec<ShortId> {
         self.members
             .values()
@@ -306,8 +319,9 @@
     }
 }
 
-/// Returns the members of a pool, each with its health for a request.
-fn assess_pool(
+/// Returns the candidates of a request, each with its health for it, and stores their median
+/// failure share in each.
+fn assess(
     mut members: Vec<&mut BackEnd>,
     now: Time,
     request: Retryability,
--- a/crates/stacktack-core/src/direct/back_ends/outlier_detector.rs
+++ b/crates/stacktack-core/src/direct/back_ends/outlier_detector.rs
@@ -6,25 +6,28 @@
 //! Where failures are rare, a single one is enough to suspect a back end; where they are common,
 //! it takes several.
 //!
-//! A suspect back end is avoided for a pause that doubles with each further failure. Then it
-//! gets one request at a time, at first only requests that can be retried at another back end.
+//! A suspect back end is avoided for a pause that doubles with each further failure. After the
+//! pause it may get trial requests, at first only ones that can be retried at another back end.
+//! [`BackEnd`](super::back_end::BackEnd) sees to it that trials of one router run one at a time.
 
 use std::time::Duration;
 
 use crate::retry::exponential_delay;
 use crate::time::Time;
 
-/// Failure share that the test assumes for a failing back end.
+/// Share of failures among the outcomes that the test assumes for a failing back end.
 const FAILING_SHARE: f64 = 0.6;
 
-/// Lower bound of the failure share that the test assumes for a normal back end.
+/// Lower bound of the share of failures among the outcomes that the test assumes for a normal back
+/// end.
 const MIN_NORMAL_SHARE: f64 = 0.02;
 
-/// Upper bound of the failure share that the test assumes for a normal back end.
+/// Upper bound of the share of failures among the outcomes that the test assumes for a normal back
+/// end.
 const MAX_NORMAL_SHARE: f64 = 0.5;
 
-/// Score from which a back end is suspect: its outcomes are then 20 times likelier at a failing
-/// back end than at a normal one.
+/// Score from which a back end is suspect: its recent outcomes are then 20 times likelier at a
+/// failing back end than at a normal one. Older outcomes count only until the score falls to 0.
 const SUSPECT_SCORE: f64 = 3.0;
 
 /// Maximum score, so that a few successful outcomes clear a back end.
@@ -36,9 +39,9 @@
 /// Maximum pause during which a suspect back end is avoided.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Time after the pause during which a suspect back end is still avoided by requests that
-/// cannot be retried.
-const NOT_RETRYABLE_PAUSE: Duration = Duration::from_secs(3);
+/// Time added to the pause for requests that cannot be retried: they avoid a suspect back end that
+/// much longer.
+const NOT_RETRYABLE_EXTRA_PAUSE: Duration = Duration::from_secs(3);
 
 /// Whether a request can be retried after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +63,8 @@
 }
 
 impl OutlierDetector {
-    /// Records the outcome of an attempt; `pool_share` is the failure share of the pool.
+    /// Records the outcome of an attempt; `pool_share` is the median of the pool members' failure
+    /// shares, each of which is a moving average.
     pub fn on_outcome(&mut self, failed: bool, pool_share: f64, now: Time) {
         let normal_share = pool_share.clamp(MIN_NORMAL_SHARE, MAX_NORMAL_SHARE);
         let likelihood_ratio = if failed {
@@ -77,17 +81,18 @@
         }
     }
 
-    /// Whether the back end fails more often than its pool.
+    /// Whether the recent outcomes make it likely that the back end fails more often than its
+    /// pool.
     pub fn is_suspect(&self) -> bool {
         self.score >= SUSPECT_SCORE
     }
 
     /// Whether a suspect back end may get this request as a trial: a retryable one after the
-    /// pause, any other one `NOT_RETRYABLE_PAUSE` later.
+    /// pause, any other one `NOT_RETRYABLE_EXTRA_PAUSE` later.
     pub fn allows_trial(&self, now: Time, request: Retryability) -> bool {
         let extra_pause = match request {
             Retryability::Retryable => Duration::ZERO,
-            Retryability::NotRetryable => NOT_RETRYABLE_PAUSE,
+            Retryability::NotRetryable => NOT_RETRYABLE_EXTRA_PAUSE,
         };
         now >= self.pause_until + extra_pause
     }
--- a/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
+++ b/crates/stacktack-core/src/direct/back_ends/zone_drain.rs
@@ -1,8 +1,9 @@
 //! Zones that an operator drains: their back ends get no requests until the drain ends.
 //!
-//! Each zone is a last-writer-wins register, ordered by the revision of the operator's store,
-//! so that routers can gossip their registers in any order and repeatedly. A register is kept
-//! after its drain has ended: late gossip must not start the drain again.
+//! Each zone is a last-writer-wins register, ordered by the revision of the operator's store, so
+//! that routers can gossip their registers in any order and repeatedly. A register is kept after
+//! its drain has ended, since late gossip must not start the drain again, and is dropped only when
+//! more than `MAX_ZONES` zones are known.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +15,12 @@
 /// zones, and each takes about 25 bytes of a datagram.
 const MAX_ZONES: usize = 16;
 
-/// Last drain request of an operator for one zone.
+/// Last request of an operator for one zone: to drain it, or to end its drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDrain {
     /// Label of the zone.
     pub zone: String,
-    /// Whether the zone is drained.
+    /// Whether the request drains the zone; false if it ends the drain.
     pub drained: bool,
     /// Revision of the store at which the operator made the request.
     pub revision: u64,
@@ -28,14 +29,14 @@
 /// Update of zone drains from the operator's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneDrainUpdate {
-    /// Drains that were started or ended.
+    /// Requests of the operator that start or end drains, the last one of each zone.
     pub changes: Vec<ZoneDrain>,
-    /// Revision as of which `changes` holds every drained zone; `None` if it holds only
-    /// changes.
+    /// If the update is a snapshot, the revision that it shows: a zone that `changes` does not
+    /// list is not drained as of that revision. `None` if `changes` lists only what has changed.
     pub snapshot_revision: Option<u64>,
 }
 
-/// Drain registers of all known zones.
+/// Drain registers of all known zones, also of those whose drain has ended.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneDrains(BTreeMap<String, Register>);
 
@@ -51,7 +52,7 @@
         self.0.get(zone).is_some_and(|register| register.drained)
     }
 
-    /// Whether a back end is in a drained zone.
+    /// Whether a back end is in a zone that is drained now.
     pub fn covers(&self, entry: &BackEndEntry) -> bool {
         entry.zone().is_some_and(|zone| self.is_drained(zone))
     }
@@ -74,7 +75,7 @@
             revision: drain.revision,
         };
         self.0.insert(drain.zone.clone(), register);
-        self.forget_oldest();
+        self.enforce_max_zones();
         was_drained != drain.drained
     }
 
@@ -98,7 +99,7 @@
             .collect()
     }
 
-    /// Registers of all known zones, to send to peers.
+    /// Registers of all known zones, also of those whose drain has ended, to send to peers.
     pub fn gossip(&self) -> Vec<ZoneDrain> {
         let all = self.0.iter();
         all.map(|(zone, register)| ZoneDrain {
@@ -109,9 +110,9 @@
         .collect()
     }
 
-    /// Drops the register with the lowest revision if there are too many; registers of zones
-    /// that are not drained go first.
-    fn forget_oldest(&mut self) {
+    /// Drops the register with the lowest revision if there are too many; registers of zones that
+    /// are not drained go first. This may be the register that was merged last.
+    fn enforce_max_zones(&mut self) {
         if self.0.len() <= MAX_ZONES {
             return;
         }
--- a/crates/stacktack-core/src/direct/choice/prompt.rs
+++ b/crates/stacktack-core/src/direct/choice/prompt.rs
@@ -47,7 +47,7 @@
         Some(self.parts[last.saturating_sub(1)])
     }
 
-    /// Number of tokens in all parts but the last, which other requests share.
+    /// Number of tokens in the parts that other requests share: all parts but the last.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self.parts.len().saturating_sub(1);
         self.parts[..shared].iter().map(|part| part.tokens).sum()
--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -1,13 +1,14 @@
-//! Choice of a back end: a pure function over a snapshot.
+//! Choice of a back end: a pure function of the candidates, as known at the time of the choice.
 //!
 //! Requests with a shared prompt part are kept together by rendezvous hashing: the hash of part
-//! and back end orders the candidates, in the same order at each router. The first back end of
-//! the order is the home of the part; a part that many requests share is spread over the first few
+//! and back end orders the candidates, in the same order at each router. The first back end of the
+//! order is the home of the part; a part that many requests share is spread over the first few
 //! back ends, its replicas. The request goes to the first candidate that has free capacity and
-//! whose load is below the spill bound, or to the least loaded candidate if there is none. When the
-//! pool is full as a whole and the first four candidates are full, no further candidate is tried.
-//! Requests without a part go to the least loaded candidate of the router's zone, unless another
-//! zone has clearly less load.
+//! whose load is below the spill bound, or to the least loaded candidate if there is none. When
+//! the pool is full as a whole and the first four candidates are full, no further candidate is
+//! tried. Requests without a part go to the least loaded candidate of the router's zone, unless
+//! another zone has clearly less load. Only candidates with the best health among the eligible
+//! ones are chosen.
 //!
 //! Ineligible members (cold, in a drained zone) count in the mean: the load bound of the other
 //! members refers to the mean of the whole pool.
@@ -76,7 +77,8 @@
 /// request, and 3 with a spill bound of 1.2 times the mean.
 const SPILL_CANDIDATES: usize = 5;
 
-/// Minimum multiple of the mean load at which a candidate is skipped.
+/// Minimum spill factor. The spill bound is also at least this multiple of the mean load of the
+/// eligible members.
 const MIN_SPILL_FACTOR: f64 = 1.1;
 
 impl SelectBounds {
--- a/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
+++ b/crates/stacktack-core/src/direct/quarantine/interrupted_runs.rs
@@ -1,9 +1,10 @@
-//! Interrupted runs, until it is known whether their back end crashed.
+//! Interrupted runs, kept for at most 8 s while it is not known whether their back end crashed.
 //!
 //! An interrupted run does not yet show that its back end crashed: lost responses, garbled or
 //! truncated streams and broken links look the same at first. It counts as a crash once the back
-//! end refuses connections, or once its directory entry vanished without a planned stop. Until
-//! then the run is kept here.
+//! end refuses connections, once another instance answers at its address, or once its directory
+//! entry vanished or names another instance, each without a planned stop. Until then the run is
+//! kept here; after 8 s it is dropped and does not count.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,49 +13,50 @@
 use crate::direct::quarantine::digest::RequestDigest;
 use crate::time::Time;
 
-/// Time for which an interrupted run waits for its cause, and for which an ended instance is
-/// remembered. After a crash, the directory entry vanishes 3.6 s later in deployments, and the
-/// store may be late.
+/// Time for which an interrupted run is kept while its cause is not known, and for which an ended
+/// instance is remembered. After a crash, the directory entry vanishes 3.6 s later in deployments,
+/// and the store may be late.
 const RETENTION: Duration = Duration::from_secs(8);
 
-/// Maximum number of interrupted runs of one instance that are kept; more than a router has there
-/// at once.
+/// Maximum number of interrupted runs of one instance that are kept; further ones are ignored. A
+/// router has fewer runs there at once.
 const MAX_RUNS_PER_INSTANCE: usize = 256;
 
-/// A run that broke off before its response was complete.
+/// A run that broke off or timed out before its response was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InterruptedRun {
     /// Request that was running.
     pub digest: RequestDigest,
-    /// Id of the caller's try, for logs.
-    pub id: String,
+    /// Id of the caller's try that the run belongs to, for logs.
+    pub try_id: String,
     /// Whether the request ran on probation, apart from others on probation at its router.
     pub on_probation: bool,
-    /// When the run broke off.
+    /// When the run broke off or timed out.
     pub at: Time,
 }
 
 /// Interrupted runs by back end instance, and the instances that recently ended.
 #[derive(Clone, Debug, Default)]
 pub struct InterruptedRuns {
-    waiting: HashMap<InstanceId, Vec<InterruptedRun>>,
+    /// Runs whose cause is not known yet.
+    unexplained: HashMap<InstanceId, Vec<InterruptedRun>>,
     /// Instances that ended, and when that was detected.
     ended: HashMap<InstanceId, Time>,
 }
 
 impl InterruptedRuns {
-    /// Adds an interrupted run of an instance.
+    /// Adds an interrupted run of an instance; ignored if `MAX_RUNS_PER_INSTANCE` are kept.
     pub fn add(&mut self, instance: InstanceId, run: InterruptedRun) {
-        let runs = self.waiting.entry(instance).or_default();
+        let runs = self.unexplained.entry(instance).or_default();
         if runs.len() < MAX_RUNS_PER_INSTANCE {
             runs.push(run);
         }
     }
 
     /// Records that an instance ended, and returns its recent interrupted runs.
-    pub fn on_back_end_ended(&mut self, instance: InstanceId, now: Time) -> Vec<InterruptedRun> {
+    pub fn on_instance_ended(&mut self, instance: InstanceId, now: Time) -> Vec<InterruptedRun> {
         self.ended.insert(instance, now);
-        let runs = self.waiting.remove(&instance).unwrap_or_default();
+        let runs = self.unexplained.remove(&instance).unwrap_or_default();
         let is_recent = |run: &InterruptedRun| now.since(run.at) < RETENTION;
         runs.into_iter().filter(is_recent).collect()
     }
@@ -64,15 +66,15 @@
         self.ended.contains_key(&instance)
     }
 
-    /// Whether an instance has interrupted runs whose cause is not known yet.
+    /// Whether interrupted runs of an instance are kept because their cause is not known yet.
     pub fn has_unexplained(&self, instance: InstanceId) -> bool {
-        self.waiting.contains_key(&instance)
+        self.unexplained.contains_key(&instance)
     }
 
     /// Drops runs and ended instances that are older than their retention.
     pub fn expire(&mut self, now: Time) {
         self.ended.retain(|_, at| now.since(*at) < RETENTION);
-        self.waiting.retain(|_, runs| {
+        self.unexplained.retain(|_, runs| {
             runs.retain(|run| now.since(run.at) < RETENTION);
             !runs.is_empty()
         });
--- a/crates/stacktack-core/src/direct/quarantine/mod.rs
+++ b/crates/stacktack-core/src/direct/quarantine/mod.rs
@@ -10,11 +10,12 @@
 //! other router is left to tell them. One successful run clears a request.
 //!
 //! Without a quarantine, a request that came every 200 ms and crashed its back end each time still
-//! reached one in 23 of 24 tries 3 s after the third crash (4 routers, 8 back ends); with it, in
-//! none.
+//! reached a back end in 23 of 24 tries 3 s after the third crash (4 routers, 8 back ends); with a
+//! quarantine, in none.
 //!
 //! - [`digest`]: identity of a request across all its tries.
-//! - [`interrupted_runs`]: runs that broke off, until it is known whether their back end crashed.
+//! - [`interrupted_runs`]: runs that broke off or timed out, while it is not known whether their
+//!   back end crashed.
 //! - [`record`]: mergeable record of the crashes under one request.
 //! - [`probation`]: choice of the back end for a request on probation.
 
--- a/crates/stacktack-core/src/direct/quarantine/probation.rs
+++ b/crates/stacktack-core/src/direct/quarantine/probation.rs
@@ -1,7 +1,8 @@
 //! Choice of the back end for a request on probation.
 //!
-//! All routers select the same few back ends for it, from its digest alone. Whichever
-//! routers it arrives at, and whatever these know of each other, it can crash no other back ends.
+//! All routers select the same few back ends for a request, from its digest alone. Whichever
+//! routers the request arrives at, and whatever these know of each other, it can crash no other
+//! back ends while it is on probation.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -10,12 +11,12 @@
 use crate::direct::quarantine::digest::RequestDigest;
 
 /// Number of back ends that a request on probation may run on. With one, an innocent request would
-/// wait for as long as that one is unavailable, and nothing would distinguish it from one that
-/// causes crashes.
+/// wait for as long as that back end is unavailable, and nothing would distinguish the request
+/// from one that causes crashes.
 const PROBATION_BACK_ENDS: usize = 2;
 
-/// Selects the candidate for the probation of a request; `None` while none of those that its digest
-/// selects can take it.
+/// Selects the candidate for the probation of a request; `None` while none of the back ends
+/// that its digest selects can take it.
 pub fn select_for_probation(
     candidates: &[DirectCandidate],
     digest: RequestDigest,
--- a/crates/stacktack-core/src/direct/sources/directory_source.rs
+++ b/crates/stacktack-core/src/direct/sources/directory_source.rs
@@ -132,7 +132,8 @@
 pub struct PendingRemovals(BTreeMap<String, u64>);
 
 impl PendingRemovals {
-    /// Records missing entries. Returns the entries that count as removed now.
+    /// Records missing entries. Returns the entries that count as removed now: with a steady
+    /// store, also those recorded before.
     pub fn on_missing(
         &mut self,
         missing: Vec<RemovedEntry>,
--- a/crates/stacktack-core/src/direct/sources/mod.rs
+++ b/crates/stacktack-core/src/direct/sources/mod.rs
@@ -5,7 +5,7 @@
 //! - [`freshness`]: age of the knowledge of a source.
 //! - [`staleness_budget`]: division of the time in which a change has to take effect.
 //! - [`adaptive_timeout`]: when a source that does not answer counts as silent.
-//! - [`update_batching`]: how long a router collects updates of the store before it asks again.
+//! - [`update_batching`]: how long a router lets updates collect at the store before it asks again.
 //! - [`watch`]: which router of a fleet polls a source.
 
 pub mod adaptive_timeout;
--- a/crates/stacktack-core/src/direct/sources/update_batching.rs
+++ b/crates/stacktack-core/src/direct/sources/update_batching.rs
@@ -1,8 +1,8 @@
-//! How long a router collects updates of the store before it asks again.
+//! How long a router lets updates collect at the store before it asks again.
 //!
 //! What one router reads, the others get by gossip within a moment and at a small cost.
-//! Therefore the more routers share the store, the longer the one that watches it collects
-//! updates.
+//! Therefore the more routers share the store, the longer the one that watches it lets
+//! updates collect.
 
 use std::time::Duration;
 
--- a/crates/stacktack-core/tests/back_end_state.rs
+++ b/crates/stacktack-core/tests/back_end_state.rs
@@ -45,7 +45,7 @@
 
 fn health_for(all: &BackEnds, id: &str, now: Time, request: Retryability) -> Option<Health> {
     all.clone()
-        .pool(now, request, |_| true)
+        .assess_candidates(now, request, |_| true)
         .into_iter()
         .find(|(member, _)| member.entry.id == id)
         .map(|(_, health)| health)
@@ -187,7 +187,7 @@
         not_in: None,
         exists: None,
     };
-    let pool = all.pool(at(0), Retryability::NotRetryable, |entry| {
+    let pool = all.assess_candidates(at(0), Retryability::NotRetryable, |entry| {
         requirement.matches(&entry.labels)
     });
     assert!(pool.is_empty());
--- a/crates/stacktack-core/tests/outlier_detection.rs
+++ b/crates/stacktack-core/tests/outlier_detection.rs
@@ -81,7 +81,7 @@
 }
 
 fn health(all: &mut BackEnds, id: &str, now: Time, request: Retryability) -> Health {
-    let members = all.pool(now, request, |_| true);
+    let members = all.assess_candidates(now, request, |_| true);
     let member = members.iter().find(|(member, _)| member.entry.id == id);
     member.expect("a member").1
 }
--- a/crates/stacktack-core/tests/quarantine/main.rs
+++ b/crates/stacktack-core/tests/quarantine/main.rs
@@ -365,7 +365,7 @@
     let mut runs = InterruptedRuns::default();
     let run = |number, at| InterruptedRun {
         digest: digest(number),
-        id: number.to_string(),
+        try_id: number.to_string(),
         on_probation: false,
         at,
     };
@@ -373,7 +373,7 @@
     runs.add(instance(1), run(2, NOW + SECOND));
     runs.add(instance(2), run(3, NOW));
     assert!(!runs.has_ended(instance(1)));
-    let interrupted = runs.on_back_end_ended(instance(1), NOW + SECOND * 8);
+    let interrupted = runs.on_instance_ended(instance(1), NOW + SECOND * 8);
     assert_eq!(
         interrupted,
         [run(2, NOW + SECOND)],
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -56,7 +56,7 @@
         let now = self.now();
         let zone_drains = self.zone_drains.borrow();
         let mut back_ends = self.back_ends.borrow_mut();
-        let members = back_ends.pool(now, request, |entry| {
+        let members = back_ends.assess_candidates(now, request, |entry| {
             matches_all(pool, &entry.labels)
                 && !excluded.contains(&entry.id)
                 && self.matches_version_filter(entry, filter)
--- a/crates/stacktack-direct/src/crash_detection.rs
+++ b/crates/stacktack-direct/src/crash_detection.rs
@@ -66,7 +66,7 @@
         }
         let run = InterruptedRun {
             digest: self.digest(),
-            id: self.id.clone(),
+            try_id: self.id.clone(),
             on_probation: attempt.on_probation,
             at: self.router.now(),
         };
@@ -141,11 +141,11 @@
         let runs = self
             .interrupted_runs
             .borrow_mut()
-            .on_back_end_ended(instance, now);
+            .on_instance_ended(instance, now);
         let logged_runs: Vec<String> = runs
             .iter()
             .take(MAX_LOGGED_RUNS)
-            .map(|run| format!("{}:{}", run.id, run.digest))
+            .map(|run| format!("{}:{}", run.try_id, run.digest))
             .collect();
         log::info!(
             target: "ended",
