--- a/crates/stacktack-core/src/direct/admission/caller_timeouts.rs
+++ b/crates/stacktack-core/src/direct/admission/caller_timeouts.rs
@@ -61,7 +61,7 @@
 
 impl UsualTimeouts {
     /// Whether the caller was refused before and came back: it announces a timeout that is
-    /// clearly shorter than usual.
+    /// clearly shorter than usual. False on a route whose usual timeout is not known.
     pub fn has_returned(&self, request: &AdmissionRequest<'_>) -> bool {
         self.routes.get(request.route).is_some_and(|usual| {
             let timeout = request.caller_timeout + RETURN_MARGIN;
@@ -80,7 +80,7 @@
         self.last_refused = Some(now);
     }
 
-    /// A request was admitted.
+    /// A request was admitted. Its timeout is learned if there were no recent refusals.
     pub fn on_admitted(&mut self, request: &AdmissionRequest<'_>, now: Time) {
         if !self.has_no_recent_refusals(now) {
             return;
--- a/crates/stacktack-core/src/direct/admission/mod.rs
+++ b/crates/stacktack-core/src/direct/admission/mod.rs
@@ -99,9 +99,11 @@
 pub enum PoolDecision {
     /// The request is admitted.
     Admitted,
-    /// The pool is full and the router has used its share.
+    /// The pool is full and the router has used its share or, for a returning caller, new
+    /// callers leave too little of that share.
     RouterShareExhausted,
-    /// The pool is full and the tenant sends clearly more than its share.
+    /// The pool is full, the tenant surges, and other callers leave too little of the
+    /// router's share.
     TenantShareExceeded,
 }
 
@@ -157,8 +159,9 @@
         }
     }
 
-    /// Decides whether the pool as a whole admits a new request. `routers` is the number of
-    /// routers that send to the pool, this one included.
+    /// Decides whether the pool as a whole admits a new request, and counts the request for
+    /// its tenant. `routers` is the number of routers that send to the pool, this one
+    /// included.
     pub fn decide(
         &mut self,
         request: &AdmissionRequest<'_>,
--- a/crates/stacktack-core/src/direct/admission/pool_load.rs
+++ b/crates/stacktack-core/src/direct/admission/pool_load.rs
@@ -17,11 +17,12 @@
 /// Minimum weight of a report, so that a pool with only old reports has a mean too.
 const MIN_WEIGHT: f64 = 0.02;
 
-/// Minimum share of the back ends whose load has to be known.
+/// Minimum share of the back ends whose load and slots have to be known for a load of the
+/// pool.
 const MIN_KNOWN_SHARE: f64 = 0.5;
 
-/// Fill of a pool, in slots, from which the pool is full; the random error of the fill is
-/// added.
+/// Fill of a pool, as a multiple of its slots, from which the pool is full; the random error
+/// of the fill is added.
 const FULL_FILL: f64 = 0.9;
 
 /// Load of a back end in a full pool, as a multiple of the mean, from which the back end is
@@ -75,8 +76,8 @@
 
 impl PoolLoad {
     /// The load of a pool with one report for each back end; newer reports weigh more.
-    /// `None` where the load of fewer than half of the back ends is known: then the back
-    /// ends' own rejections show whether there is free capacity.
+    /// `None` where the load and slots of fewer than half of the back ends are known: then
+    /// the back ends' own rejections show whether there is free capacity.
     pub fn from_reports(reports: &[LoadReport]) -> Option<Self> {
         let decay_age = decay_age(reports);
         let known: Vec<(f64, &LoadReport)> = reports
@@ -118,7 +119,8 @@
     /// full goes to a back end with free capacity. With a limit at a multiple of the mean
     /// such requests waited at their homes instead, and 0.709 of the worth was earned in
     /// the mean, 0.744 with the own limit (four routers, four days of overload with three
-    /// seeds each).
+    /// seeds each). In a full pool the limit rises with the staleness of the reports to
+    /// `FULL_LOAD_OVER_MEAN` times the mean, unless the own limit is higher.
     pub fn back_end_limit(&self, own_limit: f64) -> f64 {
         if self.is_full() {
             own_limit.max(FULL_LOAD_OVER_MEAN * self.mean_load * self.staleness())
@@ -132,7 +134,7 @@
         (self.mean_age.as_secs_f64() / STALE_AGE.as_secs_f64()).min(1.0)
     }
 
-    /// Whether the pool's slots are taken.
+    /// Whether the fill has reached [`Self::full_threshold`].
     pub fn is_full(&self) -> bool {
         self.fill() >= self.full_threshold()
     }
--- a/crates/stacktack-core/src/direct/admission/pool_share.rs
+++ b/crates/stacktack-core/src/direct/admission/pool_share.rs
@@ -15,9 +15,9 @@
 use crate::direct::admission::rate::{DecayingMean, DecayingRate};
 use crate::time::Time;
 
-/// Share of the target fill from which a pool is full; below it nobody is refused for the
-/// router's share. With the usual target of 1.06 the pool is full from 0.9, as without a
-/// target.
+/// Share of the target fill from which a pool is full; below that fill nobody is refused for
+/// the router's share. With the usual target of 1.06 the pool is full from a fill of 0.9, as
+/// without a target.
 const FULL_SHARE_OF_TARGET: f64 = 0.85;
 
 /// Time constant over which a router's share is learned: longer than the fluctuations of
@@ -59,7 +59,7 @@
 /// capacity is answered in time instead of 0.73 (330 routers, four times the capacity).
 const BURST_TIME: Duration = Duration::from_millis(250);
 
-/// Minimum of the maximum number of saved permits.
+/// Lower bound of the maximum number of saved permits, for routers with a low rate.
 const MIN_BURST: f64 = 1.5;
 
 /// A token bucket for the requests that one router may send to a full pool.
@@ -74,7 +74,8 @@
     rate: f64,
     /// Maximum of `permits`.
     burst: f64,
-    /// Latest correction of the share, as a multiple.
+    /// Factor that the latest `rate` contains to bring the fill to its target; 1 after a
+    /// check that found free capacity.
     correction: f64,
     refilled_at: Option<Time>,
 }
@@ -84,7 +85,7 @@
 pub struct ShareInputs {
     /// Load of the pool.
     pub pool: PoolLoad,
-    /// Fill at which the pool is to be kept, in slots.
+    /// Fill at which the pool is to be kept, as a multiple of its slots.
     pub target_fill: f64,
     /// Mean time for which a request holds a slot, in seconds; `None` until it is measured.
     pub hold_seconds: Option<f64>,
@@ -143,7 +144,8 @@
         self.permits >= needed
     }
 
-    /// A request was sent to the pool.
+    /// A request was admitted to the pool. It is counted without the part of the correction
+    /// that lies beyond `LEARNED_CORRECTION_BOUNDS`.
     pub fn on_admitted(&mut self, now: Time) {
         self.permits = (self.permits - 1.0).max(0.0);
         let learned = self.correction.clamp(
@@ -158,7 +160,8 @@
         self.rate
     }
 
-    /// Rate of the requests that this router sent recently.
+    /// Rate of the requests that this router admitted recently, without the part of the
+    /// corrections that lies beyond `LEARNED_CORRECTION_BOUNDS`.
     pub fn admission_rate(&self) -> &DecayingRate {
         &self.admitted
     }
@@ -172,7 +175,8 @@
         beyond_error.copysign(recent_change) * inputs.pool.staleness()
     }
 
-    /// Requests per second that this router may send while the pool is full.
+    /// Computes the requests per second that this router may send while the pool is full, and
+    /// stores the correction that they contain.
     fn rate(
         &mut self,
         inputs: &ShareInputs,
--- a/crates/stacktack-core/src/direct/admission/target_fill.rs
+++ b/crates/stacktack-core/src/direct/admission/target_fill.rs
@@ -23,35 +23,39 @@
 /// Minimum number of responses to first tries on which a step is based.
 const MIN_RESPONSES: u32 = 6;
 
-/// Share of late responses to first tries above which the fill falls. A late response is
+/// Share of late responses to first tries above which the target falls. A late response is
 /// worth about a third of one in time, and engines deliver more in all the fuller they
 /// are: with 0.10 here and 0.05 for [`RISE_LATE_SHARE`] fewer responses were in time in
 /// four of five long overloads, and 0.007 to 0.037 less worth was earned there.
 const MAX_LATE_SHARE: f64 = 0.25;
 
-/// Share of late responses to first tries below which the fill rises.
+/// Share of late responses to first tries below which the target rises.
 const RISE_LATE_SHARE: f64 = 0.15;
 
-/// Step by which the fill falls, in slots.
+/// Step by which the target fill falls, as a share of the pool's slots.
 const FALL_STEP: f64 = 0.04;
 
-/// Step by which the fill rises, in slots.
+/// Step by which the target fill rises, as a share of the pool's slots.
 const RISE_STEP: f64 = 0.02;
 
-/// Minimum target fill, in slots: late responses below it have other causes, which refusing
-/// requests does not remove.
+/// Minimum target fill, as a multiple of the pool's slots, unless the maximum that waits allow
+/// is lower: late responses below it have other causes, which refusing requests does not
+/// remove.
 const MIN_TARGET: f64 = 0.55;
 
-/// Distance of the fill below its target, in slots, beyond which late responses say nothing
-/// about the target; the target then rises.
+/// Distance of the fill below its target, as a share of the pool's slots, beyond which late
+/// responses say nothing about the target; the target then rises.
 const NEAR_TARGET: f64 = 0.15;
 
 /// Target for the fill of a pool that gets more requests than it can serve.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetFill {
-    /// Distance of the target below the maximum that waits allow, in slots.
+    /// Distance of the target below the maximum that waits allow, as a share of the pool's
+    /// slots.
     below_max: f64,
+    /// Responses to first tries since they were last evaluated.
     responses: u32,
+    /// Late ones among `responses`.
     late: u32,
     last_step: Option<Time>,
 }
--- a/crates/stacktack-core/src/direct/admission/tenant_shares.rs
+++ b/crates/stacktack-core/src/direct/admission/tenant_shares.rs
@@ -29,7 +29,8 @@
 /// usual rate yet.
 const MIN_USUAL_SHARE: f64 = 0.2;
 
-/// Maximum number of tenants that are remembered in one pool.
+/// Maximum number of tenants that are remembered in one pool. Further tenants are not counted
+/// and never surge, until a remembered one has sent nothing for [`USUAL_WINDOW`].
 const MAX_TENANTS: usize = 512;
 
 #[derive(Clone, Debug)]
@@ -47,7 +48,8 @@
 }
 
 impl TenantShares {
-    /// A request of a tenant came. `full` tells whether the pool is full.
+    /// A request of a tenant came; `full` if the pool is full. It is not counted if the tenant
+    /// is new and `MAX_TENANTS` others are remembered.
     pub fn on_request(&mut self, tenant: u64, full: bool, now: Time) {
         if self.tenants.len() >= MAX_TENANTS && !self.tenants.contains_key(&tenant) {
             self.tenants
@@ -69,7 +71,8 @@
     }
 
     /// Whether a tenant's rate exceeds its usual rate by clearly more than the others'
-    /// rates exceed theirs.
+    /// rates exceed theirs; false for a tenant that is not remembered, and while the others
+    /// have no usual rate.
     pub fn is_surging(&self, tenant: u64, now: Time) -> bool {
         let Some(known) = self.tenants.get(&tenant) else {
             return false;
--- a/crates/stacktack-direct/src/attempt.rs
+++ b/crates/stacktack-direct/src/attempt.rs
@@ -63,8 +63,8 @@
     /// suspensions of this machine.
     sent_at: Instant,
     idle_timeout_seconds: Option<u64>,
-    /// Reports on the version of the back end, if that is being rolled out.
-    version_watch: Option<Box<VersionObserver>>,
+    /// Counts the attempt for the version of its back end, if the service has a roll-out.
+    version_observer: Option<Box<VersionObserver>>,
 }
 
 impl Attempt {
@@ -90,13 +90,13 @@
             connection: None,
             sent_at: Instant::now(),
             idle_timeout_seconds: None,
-            version_watch: None,
+            version_observer: None,
         })
     }
 
     /// Makes the outcome of the attempt count for the version of its back end.
-    pub(crate) fn watch_version(&mut self, route: &Arc<Route>) {
-        self.version_watch =
+    pub(crate) fn observe_version(&mut self, route: &Arc<Route>) {
+        self.version_observer =
             VersionObserver::begin(&self.router, &self.back_end, route).map(Box::new);
     }
 
@@ -122,8 +122,8 @@
     /// Called just before the request is written.
     pub fn on_write(&mut self) {
         self.sent_at = Instant::now();
-        if let Some(version_watch) = &self.version_watch {
-            version_watch.on_write(&self.router);
+        if let Some(version_observer) = &self.version_observer {
+            version_observer.on_write(&self.router);
         }
     }
 
@@ -132,8 +132,8 @@
         self.idle_timeout_seconds = response.keep_alive_seconds;
         let now = self.router.now();
         let after = self.sent_at.elapsed();
-        if let Some(version_watch) = &self.version_watch {
-            version_watch.on_head(after);
+        if let Some(version_observer) = &self.version_observer {
+            version_observer.on_head(after);
         }
         let load = response.load.map(|load| load.running + load.waiting);
         self.with_back_end(|back_end| {
@@ -177,8 +177,8 @@
     }
 
     fn record_outcome(&self, failed: bool) {
-        if let Some(version_watch) = &self.version_watch {
-            version_watch.on_outcome(&self.router, failed);
+        if let Some(version_observer) = &self.version_observer {
+            version_observer.on_outcome(&self.router, failed);
         }
         let now = self.router.now();
         let mut suspect = None;
@@ -203,10 +203,12 @@
         }
     }
 
-    /// Called when another instance answers at the address: the one that was meant is gone.
+    /// Called when another instance answers at the address: the instance that the request was meant
+    /// for is gone.
     pub fn on_other_instance(&self) {
         let now = self.router.now();
         self.with_back_end(|back_end| {
+            // Two failures in a row eject the back end.
             back_end.on_unreachable(now);
             back_end.on_unreachable(now);
             back_end.on_replaced();
@@ -239,8 +241,8 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if let Some(version_watch) = &self.version_watch {
-            version_watch.on_drop(&self.router, self.sent_at.elapsed());
+        if let Some(version_observer) = &self.version_observer {
+            version_observer.on_drop(&self.router, self.sent_at.elapsed());
         }
         let now = self.router.now();
         if self.on_probation {
--- a/crates/stacktack-direct/src/candidates.rs
+++ b/crates/stacktack-direct/src/candidates.rs
@@ -12,7 +12,9 @@
 use crate::router::Router;
 
 impl Router {
-    /// Whether an instance of a back end that was chosen still accepts new work.
+    /// Whether a request may still be sent to the instance of a back end that was chosen: the
+    /// directory still lists that instance, it is not leaving, its zone is not drained, and its
+    /// version is not blocked.
     pub fn may_send(&self, back_end: &str, instance: InstanceId) -> bool {
         let back_ends = self.back_ends.borrow();
         let Some(known) = back_ends.get(back_end) else {
@@ -26,7 +28,8 @@
             && InstanceId::of(&known.entry) == instance
     }
 
-    /// Candidates of a pool for a request. Without a limit none counts as full.
+    /// Candidates of a pool for a request. Without a limit none counts as full. Where the new
+    /// version of a roll-out is selected and has no capacity, they are those of the old version.
     pub fn candidates(
         &self,
         pool: &[Requirement],
@@ -128,8 +131,8 @@
         sum / self.list.len().max(1) as f64
     }
 
-    /// Sets each member's load to what is expected from the age of its report, and its limit to
-    /// what follows from the load of the pool.
+    /// Sets each eligible member's load to what is expected from the age of its report, each other
+    /// member's to its residual load, and each limit to what follows from the load of the pool.
     pub fn apply_pool_load(&mut self, pool: &PoolLoad, hold_seconds: f64) {
         for (candidate, report) in self.list.iter_mut().zip(&self.reports) {
             candidate.load = if candidate.eligible {
--- a/crates/stacktack-direct/src/choice.rs
+++ b/crates/stacktack-direct/src/choice.rs
@@ -36,7 +36,8 @@
     pub selection: Selection,
     /// Health of the back end.
     pub health: Health,
-    /// Age of the load that the back end reported; `None` when the peers' counts are used.
+    /// Age of the load that the back end reported; `None` if no report counts, or if the peers'
+    /// counts are used instead.
     pub load_age: Option<Duration>,
     /// Load of the pool; `None` if not known.
     pub pool_load: Option<PoolLoad>,
@@ -180,8 +181,8 @@
         likely_holder(pool, part.id, back_end).map(|holder| holder.entry.address)
     }
 
-    /// Records where the prompt was read, and announces a new location to peers unless it is the
-    /// home.
+    /// Records where the prompt was read, and announces the location to peers if it is new or was
+    /// last used [`REANNOUNCE_AFTER`] or longer ago, unless it is the home.
     pub(crate) fn record_prefix_location(&self, back_end: &str) {
         let Some(part) = self.caller.prompt.affinity_part() else {
             return;
--- a/crates/stacktack-direct/src/crash_detection.rs
+++ b/crates/stacktack-direct/src/crash_detection.rs
@@ -54,8 +54,9 @@
 }
 
 impl Exchange {
-    /// Records a run that broke off or timed out, since its back end may have ended. Returns the
-    /// crash probe that checks this, if there is one.
+    /// Records a run that broke off or timed out, since its back end may have ended; other failures
+    /// are ignored. Returns the crash probe that checks this: only for a run that broke off at a
+    /// back end that is not known to have ended.
     pub(crate) fn record_interrupted_run(
         &self,
         attempt: &Attempt,
--- a/crates/stacktack-direct/src/exchange.rs
+++ b/crates/stacktack-direct/src/exchange.rs
@@ -84,7 +84,7 @@
     /// Digest of the request; computed when first needed.
     pub(crate) digest: OnceCell<RequestDigest>,
     pub(crate) history: AttemptHistory,
-    /// Crash probe of the last attempt's back end.
+    /// Crash probe of the last attempt's back end, until it is awaited.
     pub(crate) crash_probe: Option<CrashProbeDone>,
     /// Whether the current attempt may run: its request may have been written.
     pub(crate) attempt_in_flight: bool,
@@ -263,9 +263,10 @@
         );
     }
 
-    /// Whether attempt history and retry budget allow one more send. A request on probation that
-    /// reached a back end gets none: the budget is earned by all requests, and one more run may
-    /// crash one more back end.
+    /// Whether attempt history and retry budget allow one more send, which takes a permit of the
+    /// budget only if the request reached a back end before. A request on probation that reached
+    /// a back end gets none: the budget is earned by all requests, and one more run may crash one
+    /// more back end.
     async fn may_retry(&mut self) -> bool {
         if !self
             .history
@@ -274,8 +275,8 @@
             return false;
         }
         if let Some(crash_probe) = self.crash_probe.take() {
-            // A crash changes the treatment of the request. A refused connection takes 3 ms between
-            // zones of a region.
+            // Awaited before the treatment is read, since a crash changes it. The refusal of a
+            // connection, which shows a crash, takes 3 ms between zones of a region.
             crash_probe.await;
         }
         if self.history.has_arrived() && self.treatment() >= Treatment::Probation {
--- a/crates/stacktack-direct/src/followers/configuration.rs
+++ b/crates/stacktack-direct/src/followers/configuration.rs
@@ -19,8 +19,9 @@
 /// Name of the source in logs and metrics.
 const SOURCE: &str = "configuration";
 
-/// Time without an answer after which a snapshot of the configuration is read instead of the
-/// changes after the last revision: those hold every version in between.
+/// Time without an answer, and without a current configuration from peers, after which a snapshot
+/// of the configuration is read instead of the changes after the last revision: those hold every
+/// version in between.
 const MIN_GAP_FOR_SNAPSHOT: Duration = Duration::from_secs(2);
 
 /// Duration of a transfer of several versions after which a snapshot is read next: more versions
@@ -113,7 +114,7 @@
     unanswered_since: Option<Instant>,
     /// Whether versions are stored faster than this router reads them one by one.
     is_lagging: bool,
-    /// Whether changes were skipped that may include zone drains.
+    /// Whether changes were skipped that may include zone drains or roll-out orders.
     may_have_missed_drains: bool,
     polls: PollSchedule,
     backoff: Backoff,
@@ -192,8 +193,9 @@
         calls.schedule(Duration::ZERO);
     }
 
-    /// Calls the store. The call has a long-poll wait only if no answer is overdue and the call is
-    /// not a poll: otherwise it must show at once whether the store answers at all.
+    /// Calls the store. The call has a long-poll wait only if it reads after a revision, no answer
+    /// is overdue and it is not a poll: a poll, and a call while an answer is overdue, must show at
+    /// once whether the store answers at all.
     fn call<'a>(
         &mut self,
         source: &'a dyn ConfigurationSource,
--- a/crates/stacktack-direct/src/followers/directory.rs
+++ b/crates/stacktack-direct/src/followers/directory.rs
@@ -26,9 +26,9 @@
 /// Name of the source in logs and metrics.
 const SOURCE: &str = "directory";
 
-/// Time between two checks whether pending removals can be applied. With the backoff until the
-/// return of the store is noticed (0.4 s) and the renewal period (2.2 s) it stays below the 3 s
-/// after which routers have to act on departures again.
+/// Time between two checks whether pending removals can be applied. The sum of this interval, the
+/// backoff until the return of the store is noticed (0.4 s) and the renewal period (2.2 s) stays
+/// below the 3 s after which routers have to act on departures again.
 const PENDING_REMOVALS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum number of changes of one kind in one response that are logged one by one. A starting
@@ -89,7 +89,8 @@
 }
 
 impl DirectoryFollower {
-    /// Long-poll wait of one call; zero for a lost store, so that its return is noticed at once.
+    /// Long-poll wait of one call; zero for a poll, and for a lost store, so that its return is
+    /// noticed at once.
     fn wait(&mut self) -> Duration {
         if self.polls.is_poll() || self.store.is_lost() {
             return Duration::ZERO;
--- a/crates/stacktack-direct/src/followers/peers.rs
+++ b/crates/stacktack-direct/src/followers/peers.rs
@@ -16,8 +16,7 @@
 use crate::router::Router;
 use crate::transfer::{with_idle_timeout, Transfer};
 
-/// Time between two checks whether a peer has a newer revision, while no gossip
-/// says so.
+/// Time between two checks whether a peer has a newer revision, while no gossip announces one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time without any byte after which a fetch from a peer fails. The peer is avoided while another
@@ -55,7 +54,8 @@
     subject: Subject,
     /// Peers that failed to answer, or had no free capacity, when they were asked last.
     avoid: Vec<SocketAddr>,
-    /// Since when peers have had a newer revision than this router without sending it.
+    /// Since when peers have had a newer revision than this router without sending it, counted anew
+    /// after each poll of the store that this caused.
     behind_since: Option<Time>,
 }
 
@@ -124,15 +124,16 @@
                 peers.with_newer_configuration(self.router.configuration_version(), &self.avoid)
             }
             Subject::Directory => {
-                // Not the newest revision heard: a removal that is pending here may be decided
-                // there.
+                // Not the newest revision received: a removal that is pending here may be decided
+                // at a peer.
                 peers.with_newer_directory(self.router.directory_revision(), &self.avoid)
             }
         }
     }
 
-    /// Waits until there is another peer in the own zone to ask, at most for the check interval. A
-    /// copy from another zone costs more than the wait.
+    /// Waits until there is another peer in the own zone to ask, at most for the check interval: a
+    /// copy from another zone costs more than the wait. If there is none by then, only the peer
+    /// that was asked last stays avoided.
     async fn wait_for_capacity(&mut self) {
         let another = async {
             while !self.has_untried_peer_in_zone() {
@@ -194,7 +195,8 @@
         }
     }
 
-    /// Avoids a peer that failed to send anything.
+    /// Avoids a peer after a failed fetch: one without free capacity in addition to the peers
+    /// avoided so far, any other in place of them. In the second case waits for the check interval.
     async fn avoid_peer(&mut self, peer: SocketAddr, error: SourceError) {
         if error == SourceError::NoCapacity {
             self.avoid.push(peer);
--- a/crates/stacktack-direct/src/followers/verdicts.rs
+++ b/crates/stacktack-direct/src/followers/verdicts.rs
@@ -19,8 +19,9 @@
 /// Time between two checks whether verdicts are to be written or read.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two reads of all verdicts, with a jitter of 25 %. It bounds how long a verdict that
-/// an operator lifts stays in force, and costs one call per minute and router.
+/// Time between two reads of all verdicts, with a jitter of 25 %, unless
+/// [`READ_INTERVAL_PER_ROUTER`] makes it longer. It bounds how long a verdict that an operator
+/// lifts stays in force, and costs one call per minute and router.
 const READ_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Minimum time between two reads, per router of the fleet, so that the routers of a large fleet
--- a/crates/stacktack-direct/src/followers/zone_drains.rs
+++ b/crates/stacktack-direct/src/followers/zone_drains.rs
@@ -66,7 +66,8 @@
     }
 }
 
-/// Reads all roll-out orders once; returns whether the store answered.
+/// Reads all roll-out orders once, if an exposure bound is set; returns false if the store did not
+/// answer.
 async fn read_orders(
     router: &Router,
     source: &dyn ConfigurationSource,
--- a/crates/stacktack-direct/src/pool_admission.rs
+++ b/crates/stacktack-direct/src/pool_admission.rs
@@ -11,9 +11,11 @@
 /// Why a pool refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionRefusal {
-    /// The pool is full and this router has used its share of it.
+    /// The pool is full and this router has used its share of it or, for a returning caller, new
+    /// callers leave too little of that share.
     PoolShare,
-    /// The pool is full and the tenant sends clearly more than its share.
+    /// The pool is full, the tenant surges, and other callers leave too little of this router's
+    /// share.
     TenantShare,
     /// The back ends that the request may go to are full.
     BackEndsFull,
@@ -115,7 +117,7 @@
         })
     }
 
-    /// Records that the pool admits the request.
+    /// Records that the pool admits the request; further attempts of the request change nothing.
     pub(crate) fn record_admission(&mut self) {
         if !self.admitted {
             self.admitted = true;
--- a/crates/stacktack-direct/src/response_body.rs
+++ b/crates/stacktack-direct/src/response_body.rs
@@ -279,7 +279,8 @@
         }
     }
 
-    /// Resumes the stream at another back end; false if that is not allowed.
+    /// Records the failure of the attempt and starts to resume the stream at another back end;
+    /// false if the stream is not resumable.
     fn try_resume(&mut self, failure: AttemptFailure) -> bool {
         let StreamState::Receiving {
             mut exchange,
--- a/crates/stacktack-direct/src/rollouts.rs
+++ b/crates/stacktack-direct/src/rollouts.rs
@@ -19,7 +19,8 @@
 use crate::ports::{RefusedOrder, RolloutOrderUpdate};
 use crate::router::Router;
 
-/// Maximum number of refused orders that are remembered, so that each is logged only once.
+/// Maximum number of names whose last refused order is remembered, so that it is logged only once.
+/// At that number all are forgotten with the next order, and may be logged again.
 const MAX_REFUSED_ORDERS: usize = 64;
 
 impl Router {
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Whether a filter allows a back end.
+    /// Whether a filter allows a back end: its version is selected and not blocked. A back end
+    /// without a service is always allowed.
     pub(crate) fn matches_version_filter(
         &self,
         entry: &BackEndEntry,
@@ -228,7 +230,7 @@
         entries.filter(of_version).count()
     }
 
-    /// Logs a refused order, once for each revision.
+    /// Logs a refused order, once for each revision while it is remembered.
     fn log_refused_order(&self, refused: &RefusedOrder) {
         let mut known = self.refused_rollout_orders.borrow_mut();
         let is_known = known
@@ -277,7 +279,8 @@
 /// Which back ends of a pool a request may be sent to, as far as roll-outs decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VersionFilter {
-    /// All: there is no roll-out, or no back end of another version may receive requests.
+    /// All: there is no roll-out, no back end of the pool names a service, or no back end of
+    /// another version than the new one may receive requests.
     All,
     /// Those whose version is selected.
     Selected(VersionSelection),
@@ -301,8 +304,8 @@
     is_counted: Cell<bool>,
 }
 
-/// Number of latency objectives from which an attempt that is dropped without a response counts as
-/// a response that took so long.
+/// Time, in latency objectives, from which an attempt that is dropped without a counted outcome
+/// counts as a response; its latency is the time so far.
 const MIN_DROPPED_OBJECTIVES: u32 = 2;
 
 impl VersionObserver {
@@ -338,7 +341,7 @@
         }
     }
 
-    /// The response head arrived `after` this time.
+    /// The response head arrived; `after` is the time since the request was written.
     pub(crate) fn on_head(&self, after: Duration) {
         self.time_to_head.set(after);
     }
@@ -366,8 +369,8 @@
         }
     }
 
-    /// The attempt is dropped `after` this time since its request was written. If it took long and
-    /// has no counted outcome by then, the time so far counts as its latency.
+    /// The attempt is dropped; `after` is the time since its request was written. If that is at
+    /// least [`MIN_DROPPED_OBJECTIVES`] and no outcome was counted, it counts as the latency.
     pub(crate) fn on_drop(&self, router: &Router, after: Duration) {
         if !self.is_counted.get() && after >= self.route.objective * MIN_DROPPED_OBJECTIVES {
             self.count_response(router, Some(after));
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -115,7 +115,8 @@
     /// Notified when the configuration has to be polled from the store, because peers announce a
     /// newer one and none of them sends it in time.
     pub(crate) configuration_poll_due: Notify,
-    /// Notified when the directory has to be polled from the store, for the same reason.
+    /// Notified when the directory has to be polled from the store, because peers announce a newer
+    /// one and none of them sends it in time.
     pub(crate) directory_poll_due: Notify,
     /// When this process was last seen running.
     last_active: Cell<Time>,
@@ -252,7 +253,9 @@
         Time(elapsed.as_micros() as u64)
     }
 
-    /// Whether callers should send requests to this router.
+    /// Whether callers should send requests to this router: it is not stopping, has a configuration
+    /// and a back end that is not leaving, and does not await contact after a suspension
+    /// ([`Self::awaits_contact`]).
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
             && self.configuration.borrow().is_some()
@@ -473,7 +476,8 @@
     }
 }
 
-/// Short name of a pool, for logs and as key of its state.
+/// Short name of a pool, for logs and as key of its state: the first value that a requirement asks
+/// for, or `all`. Pools of the same name share their state.
 pub fn pool_name(pool: &[Requirement]) -> &str {
     pool.iter()
         .find_map(|requirement| requirement.equals.as_deref())
--- a/crates/stacktack-direct/src/sending.rs
+++ b/crates/stacktack-direct/src/sending.rs
@@ -34,7 +34,8 @@
 /// Minimum time before an attempt is abandoned, since a latency objective may be zero.
 const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Largest body of a failed response that is kept, in bytes.
+/// Largest body of a failed response that is kept, in bytes; with a larger body the attempt counts
+/// as broken.
 const MAX_FAILED_RESPONSE_BYTES: usize = 1024 * 1024;
 
 impl Exchange {
@@ -70,7 +71,7 @@
         let Some(mut attempt) = Attempt::begin(self.router.clone(), &back_end, pool, load) else {
             return AttemptOutcome::Failure(AttemptFailure::Unreached, None);
         };
-        attempt.watch_version(&self.route);
+        attempt.observe_version(&self.route);
         if on_probation {
             attempt.put_on_probation();
         }
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Time without the head of a response after which the attempt may be abandoned.
+    /// Time without the head of a response after which the attempt may be abandoned; the remaining
+    /// time of the request if that may not be retried.
     fn head_timeout(&self) -> Duration {
         let remaining = self.remaining();
         if self.may_retry_after_next() {
@@ -257,7 +259,8 @@
         request
     }
 
-    /// Derives the outcome of an attempt from the head of its response.
+    /// Derives the outcome of an attempt from the head of its response, and reads the body of a
+    /// server error.
     async fn classify(
         &mut self,
         response: Response<Incoming>,
--- a/crates/stacktack-direct/src/stopping.rs
+++ b/crates/stacktack-direct/src/stopping.rs
@@ -12,8 +12,9 @@
 use crate::respond::RETRY_AFTER;
 use crate::router::{Phase, Router};
 
-/// Time without any request or response in flight after which the process ends. Callers may have
-/// sent requests before they learned that the connection closes.
+/// Time without any request or response in flight after which a draining process ends although
+/// callers' connections are open. Callers may have sent requests before they learned that the
+/// connection closes.
 const QUIET_TIME: Duration = Duration::from_millis(200);
 
 /// Time over which the returns of refused callers are spread, because the first router that serves
@@ -69,8 +70,8 @@
     }
 }
 
-/// Waits for requests that are being read and for responses in flight, until their last bytes are
-/// sent or the process has to end.
+/// Waits for requests that are being read and for responses in flight: until no connection of a
+/// caller is open, nothing was in flight for [`QUIET_TIME`], or the process has to end.
 async fn drain(router: &Router) {
     let mut quiet_since = None;
     while router.open_connections.get() > 0 && router.now() < router.stop_end() {
@@ -108,8 +109,8 @@
     }
 
     /// Whether a request may be admitted; checked when its head has arrived and again when its body
-    /// is complete. After a stop signal, only if its response is expected to be complete before the
-    /// process ends.
+    /// is complete. After a stop signal the request is admitted only if its response is expected to
+    /// be complete before the process ends.
     pub(crate) fn may_admit(&self, id: &str, route: &Route, deadline: Time) -> bool {
         let Some(stop) = self.planned_stop.get() else {
             return true;
@@ -131,8 +132,8 @@
         decision.is_admitted()
     }
 
-    /// Counts a request that is admitted after [`PlannedStop::deregistered_at`]; returns whether
-    /// this one is.
+    /// Counts the request that is now admitted if [`PlannedStop::deregistered_at`] has passed.
+    /// Returns whether it was counted.
     pub(crate) fn count_admission_after_deregistration(&self) -> bool {
         let now = self.now();
         let stop = self.planned_stop.get();
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Waits until a request has to be answered: at its deadline, or before the process ends if that
-    /// is sooner.
+    /// Waits until a request has to be answered: at its deadline, or before the process ends if
+    /// that is sooner.
     pub(crate) async fn until_response_due(&self, deadline: Time) {
         tokio::select! {
             () = self.sleep_until(deadline) => {}
