--- a/crates/stacktack-lab/src/emulator/observer.rs
+++ b/crates/stacktack-lab/src/emulator/observer.rs
@@ -109,8 +109,8 @@
         self.leaving.entry(id).or_insert(now);
     }
 
-    /// Records the start of a new incarnation and drops the observations of the
-    /// previous one.
+    /// Records the start of a new incarnation, and forgets when the previous one
+    /// began to leave and which versions it used.
     pub(super) fn record_start(&mut self, now: Time, id: ProcessId) {
         self.leaving.remove(&id);
         self.restarted_at.insert(id, now);
