--- a/crates/stacktack-core/src/direct/choice/select.rs
+++ b/crates/stacktack-core/src/direct/choice/select.rs
@@ -1,13 +1,14 @@
-//! Choice of a back end: a pure function over a snapshot.
+//! Choice of a back end: a pure function of the candidates, as known at the time of the choice.
 //!
 //! Requests with a shared prompt part are kept together by rendezvous hashing: the hash of part
-//! and back end orders the candidates, in the same order at each router. The first back end of
-//! the order is the home of the part; a part that many requests share is spread over the first few
+//! and back end orders the candidates, in the same order at each router. The first back end of the
+//! order is the home of the part; a part that many requests share is spread over the first few
 //! back ends, its replicas. The request goes to the first candidate that has free capacity and
-//! whose load is below the spill bound, or to the least loaded candidate if there is none. When the
-//! pool is full as a whole and the first four candidates are full, no further candidate is tried.
-//! Requests without a part go to the least loaded candidate of the router's zone, unless another
-//! zone has clearly less load.
+//! whose load is below the spill bound, or to the least loaded candidate if there is none. When
+//! the pool is full as a whole and the first four candidates are full, no further candidate is
+//! tried. Requests without a part go to the least loaded candidate of the router's zone, unless
+//! another zone has clearly less load. Only candidates with the best health among the eligible
+//! ones are chosen.
 //!
 //! Ineligible members (cold, in a drained zone) count in the mean: the load bound of the other
 //! members refers to the mean of the whole pool.
@@ -76,7 +77,8 @@
 /// request, and 3 with a spill bound of 1.2 times the mean.
 const SPILL_CANDIDATES: usize = 5;
 
-/// Minimum multiple of the mean load at which a candidate is skipped.
+/// Minimum spill factor. The spill bound is also at least this multiple of the mean load of the
+/// eligible members.
 const MIN_SPILL_FACTOR: f64 = 1.1;
 
 impl SelectBounds {
@@ -117,7 +119,7 @@
 
 impl DirectCandidate {
     /// Whether the candidate is not full for this request.
-    fn has_room(&self) -> bool {
+    fn has_free_capacity(&self) -> bool {
         self.load < self.limit
     }
 }
@@ -125,7 +127,7 @@
 impl Selection {
     /// Whether the chosen back end has free capacity. If not, the request has to be refused:
     /// usually no back end that it may go to has free capacity then.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_capacity(&self) -> bool {
         self.load < self.limit
     }
 }
@@ -200,7 +202,7 @@
         if candidate.health != best {
             continue;
         }
-        if !candidate.has_room() {
+        if !candidate.has_free_capacity() {
             first_full.get_or_insert(rank);
             full += 1;
             if full >= max_full_candidates {
@@ -229,11 +231,13 @@
         };
         candidate.load + zone_cost
     };
-    let with_room = |candidate: &&DirectCandidate| candidate.health == best && candidate.has_room();
-    let some_has_room = eligible(candidates).any(|candidate| with_room(&candidate));
+    let with_free_capacity =
+        |candidate: &&DirectCandidate| candidate.health == best && candidate.has_free_capacity();
+    let some_has_free_capacity =
+        eligible(candidates).any(|candidate| with_free_capacity(&candidate));
     let chosen = eligible(candidates)
         .filter(|candidate| candidate.health == best)
-        .filter(|candidate| !some_has_room || with_room(candidate))
+        .filter(|candidate| !some_has_free_capacity || with_free_capacity(candidate))
         .min_by(|a, b| {
             cost(a)
                 .total_cmp(&cost(b))
@@ -301,7 +305,7 @@
 /// [`SPILL_CANDIDATES`] candidates from `rank` on; `rank` if there is none.
 fn least_loaded_near(order: &[(u64, &DirectCandidate)], rank: usize, best: Health) -> usize {
     let near = order.iter().enumerate().skip(rank).take(SPILL_CANDIDATES);
-    near.filter(|(_, (_, candidate))| candidate.health == best && candidate.has_room())
+    near.filter(|(_, (_, candidate))| candidate.health == best && candidate.has_free_capacity())
         .min_by(|a, b| a.1 .1.load.total_cmp(&b.1 .1.load))
         .map_or(rank, |(rank, _)| rank)
 }
--- a/crates/stacktack-direct/src/crash_detection.rs
+++ b/crates/stacktack-direct/src/crash_detection.rs
@@ -54,8 +54,9 @@
 }
 
 impl Exchange {
-    /// Records a run that broke off or timed out, since its back end may have ended. Returns the
-    /// crash probe that checks this, if there is one.
+    /// Records a run that broke off or timed out, since its back end may have ended; other failures
+    /// are ignored. Returns the crash probe that checks this: only for a run that broke off at a
+    /// back end that is not known to have ended.
     pub(crate) fn record_interrupted_run(
         &self,
         attempt: &Attempt,
@@ -66,7 +67,7 @@
         }
         let run = InterruptedRun {
             digest: self.digest(),
-            id: self.id.clone(),
+            try_id: self.id.clone(),
             on_probation: attempt.on_probation,
             at: self.router.now(),
         };
@@ -141,11 +142,11 @@
         let runs = self
             .interrupted_runs
             .borrow_mut()
-            .on_back_end_ended(instance, now);
+            .on_instance_ended(instance, now);
         let logged_runs: Vec<String> = runs
             .iter()
             .take(MAX_LOGGED_RUNS)
-            .map(|run| format!("{}:{}", run.id, run.digest))
+            .map(|run| format!("{}:{}", run.try_id, run.digest))
             .collect();
         log::info!(
             target: "ended",
--- a/crates/stacktack-direct/src/router.rs
+++ b/crates/stacktack-direct/src/router.rs
@@ -63,7 +63,7 @@
 
 /// State of a router process.
 pub struct Router {
-    /// Settings that hold for the life of the process.
+    /// Settings that do not change while the process runs.
     pub settings: DirectSettings,
     /// Bounds in force; reloading the settings changes them.
     bounds: Cell<Bounds>,
@@ -115,7 +115,8 @@
     /// Notified when the configuration has to be polled from the store, because peers announce a
     /// newer one and none of them sends it in time.
     pub(crate) configuration_poll_due: Notify,
-    /// Notified when the directory has to be polled from the store, for the same reason.
+    /// Notified when the directory has to be polled from the store, because peers announce a newer
+    /// one and none of them sends it in time.
     pub(crate) directory_poll_due: Notify,
     /// When this process was last seen running.
     last_active: Cell<Time>,
@@ -252,7 +253,9 @@
         Time(elapsed.as_micros() as u64)
     }
 
-    /// Whether callers should send requests to this router.
+    /// Whether callers should send requests to this router: it is not stopping, has a configuration
+    /// and a back end that is not leaving, and does not await contact after a suspension
+    /// ([`Self::awaits_contact`]).
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
             && self.configuration.borrow().is_some()
@@ -365,8 +368,8 @@
         let mut back_ends = self.back_ends.borrow_mut();
         for back_end in back_ends.iter_mut() {
             if suspects.contains(&ShortId::of(back_end.id_hash)) {
-                let accused = back_end.on_suspect_report(peer, now);
-                if accused {
+                let became_suspect = back_end.on_suspect_report(peer, now);
+                if became_suspect {
                     log::info!(
                         target: "belief",
                         "back_end={} accused=true cause=peers last={peer}",
@@ -473,7 +476,8 @@
     }
 }
 
-/// Short name of a pool, for logs and as key of its state.
+/// Short name of a pool, for logs and as key of its state: the first value that a requirement asks
+/// for, or `all`. Pools of the same name share their state.
 pub fn pool_name(pool: &[Requirement]) -> &str {
     pool.iter()
         .find_map(|requirement| requirement.equals.as_deref())
--- a/crates/stacktack-lab/tests/processes/keys.rs
+++ b/crates/stacktack-lab/tests/processes/keys.rs
@@ -1,4 +1,4 @@
-//! Keyed calls run at most once, also while the table fails.
+//! Calls with an idempotency key run at most once, also while the table fails.
 
 use serde_json::Value;
 use stacktack_lab::caller::Caller;
@@ -28,15 +28,15 @@
             callers[number % 2].call_service("POST", &path, &key, &headers, String::from("entry"))
         });
         let mut answered = 0;
-        for reply in futures_util::future::join_all(calls).await {
-            let reply = reply?;
+        for response in futures_util::future::join_all(calls).await {
+            let response = response?;
             assert!(
-                matches!(reply.status, 200 | 409),
+                matches!(response.status, 200 | 409),
                 "{}: {}",
-                reply.status,
-                reply.text
+                response.status,
+                response.text
             );
-            answered += usize::from(reply.status == 200);
+            answered += usize::from(response.status == 200);
         }
         assert_eq!(answered, 1);
         assert_eq!(service_runs(&fleet).await?, 1);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_lost_reply_to_the_claim_is_settled_by_reading() {
+fn a_lost_reply_to_the_claim_is_resolved_by_reading() {
     run(async {
         let mut fleet = Fleet::start(&service_fleet()).await?;
         post(&fleet.platform, "/faults", "{\"mode\":\"lose_replies\"}").await?;
